--- a/core/inforce/fold.go
+++ b/core/inforce/apply.go
@@ -13,10 +13,10 @@
 	"savoryfall/core/version"
 )
 
-// MaxNotes bounds how many verdicts on notes are remembered; at 13,000 notes a day it is more than a day.
+// MaxNotes bounds the number of notes whose results are remembered; at 13,000 notes a day it covers more than a day.
 const MaxNotes = 16384
 
-// Kinds of records on the stream of the configuration.
+// Kinds of records on the configuration stream.
 const (
 	recordNote     = "releaseNote"
 	recordSnapshot = "snapshot"
@@ -28,18 +28,18 @@
 	Snapshot json.RawMessage `json:"snapshot,omitempty"`
 }
 
-// NoteRecord is the record that publishes the text of a release note.
+// NoteRecord encodes the stream record that publishes a release note.
 func NoteRecord(text string) []byte {
 	data, err := json.Marshal(record{Kind: recordNote, Text: text})
 	if err != nil {
-		panic("inforce: a string that JSON cannot hold: " + err.Error())
+		panic("inforce: cannot encode note as JSON: " + err.Error())
 	}
 	return data
 }
 
-// Apply returns the configuration after the record at the offset, by the same rule on every router.
-// A record already applied changes nothing; a gap is an error, because a missed note could be the one that
-// a later note conflicts with, and two routers would then disagree for good.
+// Apply returns the configuration after the record at the given offset; it is deterministic, so that all routers agree.
+// A record that was already applied changes nothing. A gap is an error: the missed note could conflict with a later
+// one, and this router would then differ from the others permanently.
 func (c *Configuration) Apply(offset int64, data []byte) (next *Configuration, err error) {
 	if offset < c.next {
 		return c, nil
@@ -57,15 +57,15 @@
 	if err != nil {
 		return next, nil
 	}
-	next.fold(offset, n)
+	next.applyNote(offset, n)
 	return next, nil
 }
 
-// GapError says that records between Want and Got were not seen.
+// GapError reports that the records from Want up to Got were not received.
 type GapError struct{ Want, Got int64 }
 
 func (e GapError) Error() string {
-	return fmt.Sprintf("gap on the configuration stream: want offset %d, got %d", e.Want, e.Got)
+	return fmt.Sprintf("gap in the configuration stream: want offset %d, got %d", e.Want, e.Got)
 }
 
 func (c *Configuration) clone() *Configuration {
@@ -73,57 +73,58 @@
 	return &next
 }
 
-// fold gives a verdict on the note once; a retry of a publisher that lost the answer finds the first verdict.
-func (c *Configuration) fold(offset int64, n *note.Note) {
-	if _, met := c.notes[n.ID()]; met {
+// applyNote checks and applies a note. A note id is handled only once: when a publisher retries because it lost the
+// response, the first result stands.
+func (c *Configuration) applyNote(offset int64, n *note.Note) {
+	if _, known := c.notes[n.ID()]; known {
 		return
 	}
 	refusal := c.Check(n)
-	c.remember(n.ID(), verdict{offset: offset, refusal: refusal})
+	c.rememberResult(n.ID(), noteResult{offset: offset, refusal: refusal})
 	if refusal != "" {
 		return
 	}
-	c.own(n)
+	c.cloneMapsFor(n)
 	for _, i := range append(slices.Clone(n.Added()), n.Changed()...) {
-		c.put(offset, n.ID(), i)
+		c.putItem(offset, n.ID(), i)
 	}
 	for _, i := range n.Withdrawn() {
-		c.withdraw(offset, n.ID(), i)
+		c.withdrawItem(offset, n.ID(), i)
 	}
-	c.current = n.ID()
+	c.currentNote = n.ID()
 }
 
-// own copies the maps that the note touches, because older configurations are still being read.
-func (c *Configuration) own(n *note.Note) {
-	c.items = cloned(c.items)
-	touched := map[string]bool{}
+// cloneMapsFor copies the maps that the note touches, because older configurations that share them may still be in use.
+func (c *Configuration) cloneMapsFor(n *note.Note) {
+	c.items = cloneEntries(c.items)
+	kinds := map[string]bool{}
 	for _, i := range n.Touched() {
-		touched[i.Kind()] = true
+		kinds[i.Kind()] = true
 	}
-	c.ownKinds(touched)
+	c.cloneMapsOfKinds(kinds)
 }
 
-func (c *Configuration) ownKinds(touched map[string]bool) {
-	if touched[note.KindModels] {
+func (c *Configuration) cloneMapsOfKinds(kinds map[string]bool) {
+	if kinds[note.KindModels] {
 		c.models = maps.Clone(c.models)
 	}
-	if touched[note.KindAccounts] {
+	if kinds[note.KindAccounts] {
 		c.accounts = maps.Clone(c.accounts)
 	}
-	if touched[note.KindServices] {
+	if kinds[note.KindServices] {
 		c.services = maps.Clone(c.services)
 	}
-	if touched[note.KindVersions] || touched[note.KindAdapters] {
+	if kinds[note.KindVersions] || kinds[note.KindAdapters] {
 		c.versions = maps.Clone(c.versions)
 	}
-	if touched[note.KindEndpoints] {
+	if kinds[note.KindEndpoints] {
 		c.endpoints = maps.Clone(c.endpoints)
-		c.addresses = maps.Clone(c.addresses)
+		c.nameByAddress = maps.Clone(c.nameByAddress)
 	}
-	c.makeMaps()
+	c.initMaps()
 }
 
-func (c *Configuration) makeMaps() {
+func (c *Configuration) initMaps() {
 	if c.models == nil {
 		c.models = map[string]bool{}
 	}
@@ -138,48 +139,48 @@
 	}
 	if c.endpoints == nil {
 		c.endpoints = map[string]endpoint.Endpoint{}
-		c.addresses = map[string]string{}
+		c.nameByAddress = map[string]string{}
 	}
 }
 
-func cloned(m map[string]entry) map[string]entry {
+func cloneEntries(m map[string]entry) map[string]entry {
 	if m == nil {
 		return map[string]entry{}
 	}
 	return maps.Clone(m)
 }
 
-func (c *Configuration) remember(id string, v verdict) {
+func (c *Configuration) rememberResult(id string, result noteResult) {
 	c.notes = maps.Clone(c.notes)
 	if c.notes == nil {
-		c.notes = map[string]verdict{}
+		c.notes = map[string]noteResult{}
 	}
-	c.notes[id] = v
-	c.noteOrder = append(slices.Clip(c.noteOrder), id)
-	if len(c.noteOrder) > MaxNotes {
-		delete(c.notes, c.noteOrder[0])
-		c.noteOrder = c.noteOrder[1:]
+	c.notes[id] = result
+	c.noteIDs = append(slices.Clip(c.noteIDs), id)
+	if len(c.noteIDs) > MaxNotes {
+		delete(c.notes, c.noteIDs[0])
+		c.noteIDs = c.noteIDs[1:]
 	}
 }
 
-func (c *Configuration) put(offset int64, noteID string, i note.Item) {
-	c.remove(i.Key())
+func (c *Configuration) putItem(offset int64, noteID string, i note.Item) {
+	c.removeItem(i.Key())
 	c.items[i.Key()] = entry{item: i, offset: offset, noteID: noteID}
-	c.digest += digestOf(i)
-	c.index(i)
+	c.digest += itemDigest(i)
+	c.indexItem(i)
 }
 
-func (c *Configuration) withdraw(offset int64, noteID string, i note.Item) {
-	c.remove(i.Key())
+func (c *Configuration) withdrawItem(offset int64, noteID string, i note.Item) {
+	c.removeItem(i.Key())
 	c.items[i.Key()] = entry{item: note.NewItem(i.Kind(), i.Name(), nil), offset: offset, noteID: noteID, withdrawn: true}
 }
 
-func (c *Configuration) remove(key string) {
+func (c *Configuration) removeItem(key string) {
 	old, ok := c.items[key]
 	if !ok || old.withdrawn {
 		return
 	}
-	c.digest -= digestOf(old.item)
+	c.digest -= itemDigest(old.item)
 	switch old.item.Kind() {
 	case note.KindModels:
 		delete(c.models, old.item.Name())
@@ -190,12 +191,12 @@
 	case note.KindVersions, note.KindAdapters:
 		delete(c.versions, old.item.Key())
 	case note.KindEndpoints:
-		delete(c.addresses, c.endpoints[old.item.Name()].Address())
+		delete(c.nameByAddress, c.endpoints[old.item.Name()].Address())
 		delete(c.endpoints, old.item.Name())
 	}
 }
 
-func (c *Configuration) index(i note.Item) {
+func (c *Configuration) indexItem(i note.Item) {
 	switch i.Kind() {
 	case note.KindModels:
 		c.models[i.Name()] = true
@@ -211,6 +212,6 @@
 	case note.KindEndpoints:
 		e := endpoint.Read(i.Table())
 		c.endpoints[i.Name()] = e
-		c.addresses[e.Address()] = e.Name()
+		c.nameByAddress[e.Address()] = e.Name()
 	}
 }
--- a/core/inforce/fold_test.go
+++ b/core/inforce/apply_test.go
@@ -20,39 +20,41 @@
 	os.Exit(m.Run())
 }
 
-// edit is one operator's note: written after reading the log up to a point, it sets or withdraws some models.
+// edit describes a note of one operator. It is based on the state as of lag records ago, and adds, changes or (with
+// withdraw) withdraws some models. With republish it is published twice.
 type edit struct {
-	read  int
-	items []int
-	drop  bool
-	twice bool
+	lag       int
+	items     []int
+	withdraw  bool
+	republish bool
 }
 
-const models = 4
+const modelCount = 4
 
-func edits() *rapid.Generator[[]edit] {
+func genEdits() *rapid.Generator[[]edit] {
 	one := rapid.Custom(func(t *rapid.T) edit {
 		return edit{
-			read:  rapid.IntRange(0, 3).Draw(t, "read"),
-			items: rapid.SliceOfNDistinct(rapid.IntRange(0, models-1), 1, 2, rapid.ID[int]).Draw(t, "items"),
-			drop:  rapid.IntRange(0, 3).Draw(t, "drop") == 0,
-			twice: rapid.IntRange(0, 4).Draw(t, "twice") == 0,
+			lag:       rapid.IntRange(0, 3).Draw(t, "read"),
+			items:     rapid.SliceOfNDistinct(rapid.IntRange(0, modelCount-1), 1, 2, rapid.ID[int]).Draw(t, "items"),
+			withdraw:  rapid.IntRange(0, 3).Draw(t, "drop") == 0,
+			republish: rapid.IntRange(0, 4).Draw(t, "twice") == 0,
 		}
 	})
 	return rapid.SliceOfN(one, 1, 25)
 }
 
-// stream writes the notes as operators would who read the log read notes ago.
-func stream(list []edit) (records [][]byte, notes []*note.Note) {
+// recordsOf generates the records of the edits, and returns the parsed notes with them. Notes that do not parse are
+// skipped.
+func recordsOf(list []edit) (records [][]byte, notes []*note.Note) {
 	states := []*inforce.Configuration{{}}
-	for n, e := range list {
-		saw := states[max(len(states)-1-e.read, 0)]
-		text := write(fmt.Sprintf("note-%d", n), saw, e)
+	for i, e := range list {
+		base := states[max(len(states)-1-e.lag, 0)]
+		text := noteText(fmt.Sprintf("note-%d", i), base, e)
 		parsed, err := note.Parse("note", []byte(text))
 		if err != nil {
 			continue
 		}
-		for range 1 + map[bool]int{true: 1}[e.twice] {
+		for range 1 + map[bool]int{true: 1}[e.republish] {
 			records = append(records, inforce.NoteRecord(text))
 			last := states[len(states)-1]
 			next, err := last.Apply(last.Next(), inforce.NoteRecord(text))
@@ -66,27 +68,27 @@
 	return records, notes
 }
 
-func write(id string, saw *inforce.Configuration, e edit) string {
-	text := fmt.Sprintf("id = %q\nbasedOn = %q\n", id, saw.Current())
-	dropped := ""
+func noteText(id string, base *inforce.Configuration, e edit) string {
+	text := fmt.Sprintf("id = %q\nbasedOn = %q\n", id, base.Current())
+	withdrawn := ""
 	for _, i := range e.items {
 		name := fmt.Sprintf("m%d", i)
 		switch {
-		case e.drop && saw.HasModel(name):
-			dropped += fmt.Sprintf("%q,", name)
-		case saw.HasModel(name):
+		case e.withdraw && base.HasModel(name):
+			withdrawn += fmt.Sprintf("%q,", name)
+		case base.HasModel(name):
 			text += fmt.Sprintf("[[changed.models]]\nname = %q\n", name)
 		default:
 			text += fmt.Sprintf("[[added.models]]\nname = %q\n", name)
 		}
 	}
-	if dropped != "" {
-		text += "[withdrawn]\nmodels = [" + dropped + "]\n"
+	if withdrawn != "" {
+		text += "[withdrawn]\nmodels = [" + withdrawn + "]\n"
 	}
 	return text
 }
 
-func fold(t interface{ Fatalf(string, ...any) }, records [][]byte) *inforce.Configuration {
+func applyAll(t interface{ Fatalf(string, ...any) }, records [][]byte) *inforce.Configuration {
 	c := &inforce.Configuration{}
 	var err error
 	for o, data := range records {
@@ -98,7 +100,7 @@
 	return c
 }
 
-// lostUpdate tells whether an accepted note touched an item whose newest accepted change its author had not read.
+// lostUpdate reports whether an accepted note touched an item that an accepted note newer than its base had changed.
 func lostUpdate(notes []*note.Note, accepted func(id string) bool) bool {
 	order := map[string]int{}
 	newest := map[string]int{}
@@ -121,23 +123,24 @@
 	return false
 }
 
-// Of two operators that publish at once the second is refused: no accepted note undoes a change that its author had
-// not read.
+// Of two notes that are published concurrently, the second is refused: no accepted note overwrites a change that is
+// newer than its base.
 func TestNoAcceptedNoteLosesAnUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records, notes := stream(edits().Draw(t, "edits"))
-		c := fold(t, records)
+		records, notes := recordsOf(genEdits().Draw(t, "edits"))
+		c := applyAll(t, records)
 		if lostUpdate(notes, func(id string) bool { refusal, known := c.Refusal(id); return known && refusal == "" }) {
 			t.Fatalf("an update was lost")
 		}
 	})
 }
 
-// A fold that does not check the base, but only whether the items are there, is caught.
+// Shows that lostUpdate detects an implementation that checks only whether items exist, not whether they changed since
+// the note's base.
 func TestFoldWithoutBaseCheckIsCaught(t *testing.T) {
 	caught := 0
 	for seed := range 200 {
-		_, notes := stream(edits().Example(seed))
+		_, notes := recordsOf(genEdits().Example(seed))
 		present := map[string]bool{}
 		accepted := map[string]bool{}
 		for _, n := range notes {
@@ -166,14 +169,14 @@
 	assert.Assert(t, caught > 0)
 }
 
-// A VM that starts from a snapshot anywhere in the stream and reads the tail has the same in force as one that has
-// read everything, whatever it is told twice.
+// A router that restores a snapshot from any point of the stream and then applies the rest reaches the same
+// configuration as one that applied every record, even if it receives records twice.
 func TestSnapshotAndTailEqualTheWholeStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records, _ := stream(edits().Draw(t, "edits"))
+		records, _ := recordsOf(genEdits().Draw(t, "edits"))
 		cut := rapid.IntRange(0, len(records)).Draw(t, "cut")
-		whole := fold(t, records)
-		data, err := fold(t, records[:cut]).Snapshot()
+		whole := applyAll(t, records)
+		data, err := applyAll(t, records[:cut]).Snapshot()
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
@@ -193,7 +196,7 @@
 	})
 }
 
-// A router that missed a record stops, rather than apply what comes after it.
+// A router that missed a record returns an error instead of applying the next one.
 func TestGapIsNotApplied(t *testing.T) {
 	c := &inforce.Configuration{}
 	same, err := c.Apply(1, inforce.NoteRecord("id = \"a\"\n[[added.models]]\nname = \"m\"\n"))
@@ -203,19 +206,20 @@
 	assert.Equal(t, same.Next(), int64(0))
 }
 
-// A snapshot whose items do not have its digest is not taken.
+// A snapshot whose items do not match its digest is rejected.
 func TestForgedSnapshotIsRefused(t *testing.T) {
-	records, _ := stream([]edit{{items: []int{0}}})
-	data, err := fold(t, records).Snapshot()
+	records, _ := recordsOf([]edit{{items: []int{0}}})
+	data, err := applyAll(t, records).Snapshot()
 	assert.NilError(t, err)
 	_, err = inforce.Restore([]byte(strings.Replace(string(data), `"m0"`, `"m9"`, 1)))
 	assert.ErrorContains(t, err, "digest")
 }
 
-// Parts of snapshots of two writers that race, with one broken off, leave the whole one to be found.
+// Two writers interleave the parts of their snapshots, and one of them stops midway. Recovery still finds the complete
+// snapshot.
 func TestRecoveryFindsTheWholeSnapshot(t *testing.T) {
-	records, _ := stream([]edit{{items: []int{0}}, {items: []int{1}}})
-	data, err := fold(t, records).Snapshot()
+	records, _ := recordsOf([]edit{{items: []int{0}}, {items: []int{1}}})
+	data, err := applyAll(t, records).Snapshot()
 	assert.NilError(t, err)
 	whole, err := inforce.SnapshotRecords("one", data)
 	assert.NilError(t, err)
@@ -229,11 +233,11 @@
 	assert.Equal(t, r.Best().Next(), int64(2))
 }
 
-// Each wrong reference is refused with what is wrong.
+// Each invalid reference is refused with a specific reason.
 func TestRefusals(t *testing.T) {
 	base := "id = \"base\"\n[[added.models]]\nname = \"m\"\n" +
 		"[[added.endpoints]]\nname = \"e\"\naddress = \"127.0.0.1:1\"\nfailureDomain = \"d\"\nmodels = [\"m\"]\n"
-	c := fold(t, [][]byte{inforce.NoteRecord(base)})
+	c := applyAll(t, [][]byte{inforce.NoteRecord(base)})
 	for _, given := range []struct{ text, want string }{
 		{"[withdrawn]\nmodels = [\"gone\"]\n", "models/gone is changed or withdrawn, but is not in force"},
 		{"[[added.endpoints]]\nname = \"f\"\naddress = \"127.0.0.1:2\"\nfailureDomain = \"d\"\nmodels = [\"x\"]\n", `serves the model "x"`},
--- a/core/inforce/check.go
+++ b/core/inforce/check.go
@@ -9,18 +9,18 @@
 	"savoryfall/core/version"
 )
 
-// Check tells why the note would be refused now; empty means that it would be accepted.
+// Check returns the reason why the note would be refused if it were published now, or "" if it would be accepted.
 func (c *Configuration) Check(n *note.Note) (refusal string) {
-	if v, met := c.notes[n.ID()]; met {
-		return fmt.Sprintf("the id %q is taken by the note at offset %d", n.ID(), v.offset)
+	if result, known := c.notes[n.ID()]; known {
+		return fmt.Sprintf("the id %q is taken by the note at offset %d", n.ID(), result.offset)
 	}
-	base, refusal := c.base(n)
+	baseOffset, refusal := c.baseOffset(n)
 	if refusal != "" {
 		return refusal
 	}
 	for _, check := range []func() string{
-		func() string { return c.checkBase(n, base) },
-		func() string { return c.checkPresence(n) },
+		func() string { return c.checkConflicts(n, baseOffset) },
+		func() string { return c.checkExistence(n) },
 		func() string { return c.checkReferences(n) },
 	} {
 		if refusal = check(); refusal != "" {
@@ -32,21 +32,21 @@
 
 const beforeFirst = -1
 
-// base is the offset of the note that this one builds on.
-func (c *Configuration) base(n *note.Note) (offset int64, refusal string) {
+// baseOffset returns the log offset of the note named by basedOn, or beforeFirst for a note without one.
+func (c *Configuration) baseOffset(n *note.Note) (offset int64, refusal string) {
 	if n.BasedOn() == "" {
 		return beforeFirst, ""
 	}
-	v, met := c.notes[n.BasedOn()]
-	if !met || v.refusal != "" {
+	result, known := c.notes[n.BasedOn()]
+	if !known || result.refusal != "" {
 		return 0, fmt.Sprintf("basedOn names %q, which is not an accepted note", n.BasedOn())
 	}
-	return v.offset, ""
+	return result.offset, ""
 }
 
-// checkBase refuses a note whose author had not read the newest change of an item that the note touches.
-// Without it the later of two racing operators would silently undo the earlier one.
-func (c *Configuration) checkBase(n *note.Note, base int64) string {
+// checkConflicts refuses a note that touches an item which was changed after the note's base. Otherwise the later of
+// two concurrent publishers would silently overwrite the earlier one.
+func (c *Configuration) checkConflicts(n *note.Note, base int64) string {
 	for _, i := range n.Touched() {
 		if e, ok := c.items[i.Key()]; ok && e.offset > base {
 			return fmt.Sprintf("%s was changed by note %q at offset %d, after the note that this one is based on",
@@ -56,63 +56,63 @@
 	return ""
 }
 
-func (c *Configuration) checkPresence(n *note.Note) string {
+func (c *Configuration) checkExistence(n *note.Note) string {
 	for _, i := range n.Added() {
-		if c.has(i.Key()) {
+		if c.inForce(i.Key()) {
 			return i.Key() + " is added, but is in force already"
 		}
 	}
 	for _, i := range append(append([]note.Item{}, n.Changed()...), n.Withdrawn()...) {
-		if !c.has(i.Key()) {
+		if !c.inForce(i.Key()) {
 			return i.Key() + " is changed or withdrawn, but is not in force"
 		}
 	}
 	return ""
 }
 
-func (c *Configuration) has(key string) bool {
+func (c *Configuration) inForce(key string) bool {
 	e, ok := c.items[key]
 	return ok && !e.withdrawn
 }
 
-// references answers what will be in force once the note is applied.
-type references struct {
+// nextItems tells which items will be in force after the note is applied.
+type nextItems struct {
 	c         *Configuration
 	withdrawn map[string]bool
 	put       map[string]bool
 }
 
-func (r references) has(kind, name string) bool {
+func (r nextItems) inForce(kind, name string) bool {
 	key := kind + "/" + name
-	return r.put[key] || r.c.has(key) && !r.withdrawn[key]
+	return r.put[key] || r.c.inForce(key) && !r.withdrawn[key]
 }
 
 func (c *Configuration) checkReferences(n *note.Note) string {
-	r := references{c: c, withdrawn: map[string]bool{}, put: map[string]bool{}}
+	next := nextItems{c: c, withdrawn: map[string]bool{}, put: map[string]bool{}}
 	for _, i := range n.Withdrawn() {
-		r.withdrawn[i.Key()] = true
+		next.withdrawn[i.Key()] = true
 	}
 	puts := append(append([]note.Item{}, n.Added()...), n.Changed()...)
 	for _, i := range puts {
-		r.put[i.Key()] = true
+		next.put[i.Key()] = true
 	}
-	if refusal := checkTwins(puts); refusal != "" {
+	if refusal := checkDuplicates(puts); refusal != "" {
 		return refusal
 	}
 	for _, i := range puts {
-		if refusal := r.checkItem(i); refusal != "" {
+		if refusal := next.checkItem(i); refusal != "" {
 			return refusal
 		}
 	}
-	return r.checkOrphans()
+	return next.checkDangling()
 }
 
-func (r references) checkItem(i note.Item) string {
+func (r nextItems) checkItem(i note.Item) string {
 	switch i.Kind() {
 	case note.KindEndpoints:
 		return r.checkEndpoint(endpoint.Read(i.Table()))
 	case note.KindVersions, note.KindAdapters:
-		if v := version.Read(i.Table()); !r.has(note.KindModels, v.Model()) {
+		if v := version.Read(i.Table()); !r.inForce(note.KindModels, v.Model()) {
 			return fmt.Sprintf("%s is of the model %q, which is not in force", i.Key(), v.Model())
 		}
 	case note.KindAccounts:
@@ -124,24 +124,24 @@
 	return ""
 }
 
-func (r references) checkEndpoint(e endpoint.Endpoint) string {
+func (r nextItems) checkEndpoint(e endpoint.Endpoint) string {
 	for _, m := range e.Models() {
-		if !r.has(note.KindModels, m) {
+		if !r.inForce(note.KindModels, m) {
 			return fmt.Sprintf("endpoint %q serves the model %q, which is not in force", e.Name(), m)
 		}
 	}
-	if e.Service() != "" && !r.has(note.KindServices, e.Service()) {
+	if e.Service() != "" && !r.inForce(note.KindServices, e.Service()) {
 		return fmt.Sprintf("endpoint %q belongs to the service %q, which is not in force", e.Name(), e.Service())
 	}
-	other, taken := r.c.addresses[e.Address()]
+	other, taken := r.c.nameByAddress[e.Address()]
 	if taken && other != e.Name() && !r.withdrawn[note.KindEndpoints+"/"+other] {
 		return fmt.Sprintf("endpoint %q has the address %s of endpoint %q", e.Name(), e.Address(), other)
 	}
 	return ""
 }
 
-// checkOrphans refuses to withdraw what an endpoint that stays still names.
-func (r references) checkOrphans() string {
+// checkDangling refuses to withdraw a model or service that a remaining endpoint refers to.
+func (r nextItems) checkDangling() string {
 	if len(r.withdrawn) == 0 {
 		return ""
 	}
@@ -162,8 +162,8 @@
 	return ""
 }
 
-// checkTwins refuses two items of one note that claim the same address or the same key.
-func checkTwins(puts []note.Item) string {
+// checkDuplicates refuses two items of one note that use the same address or the same API key.
+func checkDuplicates(puts []note.Item) string {
 	seen := map[string]string{}
 	for _, i := range puts {
 		identity := ""
@@ -175,7 +175,7 @@
 		default:
 			continue
 		}
-		if first, twice := seen[identity]; twice {
+		if first, duplicate := seen[identity]; duplicate {
 			return fmt.Sprintf("%s and %s have the same %s", first, i.Key(), identity)
 		}
 		seen[identity] = i.Key()
--- a/core/inforce/doc.go
+++ b/core/inforce/doc.go
@@ -1,2 +1,2 @@
-// Package inforce folds release notes in offset order into the configuration in force.
+// Package inforce computes the active configuration by applying release notes in log offset order.
 package inforce
--- a/core/inforce/snapshot.go
+++ b/core/inforce/snapshot.go
@@ -10,15 +10,15 @@
 	"savoryfall/core/note"
 )
 
-// PartBytes bounds the data in one record of a snapshot, so that the log takes it like any other record.
+// PartBytes bounds the snapshot data in one record, so that it fits the log's limit on record size.
 const PartBytes = 256 << 10
 
 type snapshot struct {
-	Next    int64           `json:"next"`
-	Current string          `json:"current"`
-	Digest  string          `json:"digest"`
-	Items   []snapshotItem  `json:"items"`
-	Notes   []snapshotNotes `json:"notes"`
+	Next    int64          `json:"next"`
+	Current string         `json:"current"`
+	Digest  string         `json:"digest"`
+	Items   []snapshotItem `json:"items"`
+	Notes   []snapshotNote `json:"notes"`
 }
 
 type snapshotItem struct {
@@ -30,16 +30,16 @@
 	Withdrawn bool           `json:"withdrawn,omitempty"`
 }
 
-type snapshotNotes struct {
+type snapshotNote struct {
 	ID      string `json:"id"`
 	Offset  int64  `json:"offset"`
 	Refusal string `json:"refusal,omitempty"`
 }
 
-// Snapshot is the configuration as JSON, from which Restore makes it again.
+// Snapshot encodes the configuration as JSON, to be decoded by Restore.
 func (c *Configuration) Snapshot() (data []byte, err error) {
 	defer annotate.Error(&err, "write snapshot of the configuration")
-	s := snapshot{Next: c.next, Current: c.current, Digest: c.Digest()}
+	s := snapshot{Next: c.next, Current: c.currentNote, Digest: c.Digest()}
 	for _, key := range slices.Sorted(maps.Keys(c.items)) {
 		e := c.items[key]
 		s.Items = append(s.Items, snapshotItem{
@@ -47,13 +47,14 @@
 			Offset: e.offset, Note: e.noteID, Withdrawn: e.withdrawn,
 		})
 	}
-	for _, id := range c.noteOrder {
-		s.Notes = append(s.Notes, snapshotNotes{ID: id, Offset: c.notes[id].offset, Refusal: c.notes[id].refusal})
+	for _, id := range c.noteIDs {
+		s.Notes = append(s.Notes, snapshotNote{ID: id, Offset: c.notes[id].offset, Refusal: c.notes[id].refusal})
 	}
 	return json.Marshal(s)
 }
 
-// Restore makes the configuration of a snapshot; the error says when its items do not have the digest it states.
+// Restore decodes a snapshot. It returns an error if the digest of the items differs from the one stored in the
+// snapshot.
 func Restore(data []byte) (c *Configuration, err error) {
 	defer annotate.Error(&err, "read snapshot of the configuration")
 	var s snapshot
@@ -61,18 +62,18 @@
 	if err != nil {
 		return nil, err
 	}
-	c = &Configuration{items: map[string]entry{}, notes: map[string]verdict{}}
-	c.makeMaps()
+	c = &Configuration{items: map[string]entry{}, notes: map[string]noteResult{}}
+	c.initMaps()
 	for _, i := range s.Items {
 		c.restoreItem(i)
 	}
 	for _, n := range s.Notes {
-		c.notes[n.ID] = verdict{offset: n.Offset, refusal: n.Refusal}
-		c.noteOrder = append(c.noteOrder, n.ID)
+		c.notes[n.ID] = noteResult{offset: n.Offset, refusal: n.Refusal}
+		c.noteIDs = append(c.noteIDs, n.ID)
 	}
-	c.next, c.current = s.Next, s.Current
+	c.next, c.currentNote = s.Next, s.Current
 	if c.Digest() != s.Digest {
-		return nil, fmt.Errorf("items have digest %s, the snapshot states %s", c.Digest(), s.Digest)
+		return nil, fmt.Errorf("digest mismatch: items have digest %s, snapshot states %s", c.Digest(), s.Digest)
 	}
 	return c, nil
 }
@@ -83,24 +84,25 @@
 	if i.Withdrawn {
 		return
 	}
-	c.digest += digestOf(e.item)
-	c.index(e.item)
+	c.digest += itemDigest(e.item)
+	c.indexItem(e.item)
 }
 
-// part is one record of a snapshot.
-type part struct {
+// snapshotPart is one record of a snapshot.
+type snapshotPart struct {
 	ID    string `json:"id"`
 	Part  int    `json:"part"`
 	Parts int    `json:"parts"`
 	Data  []byte `json:"data"`
 }
 
-// SnapshotRecords are the records that carry the snapshot on the stream; id tells attempts to write one apart.
+// SnapshotRecords splits a snapshot into stream records. The id must be unique to this attempt, so that the parts of
+// concurrent or interrupted attempts are not mixed up.
 func SnapshotRecords(id string, snapshot []byte) (records [][]byte, err error) {
-	defer annotate.Error(&err, "cut snapshot into records")
+	defer annotate.Error(&err, "split snapshot into records")
 	chunks := slices.Collect(slices.Chunk(snapshot, PartBytes))
 	for n, chunk := range chunks {
-		raw, err := json.Marshal(part{ID: id, Part: n, Parts: len(chunks), Data: chunk})
+		raw, err := json.Marshal(snapshotPart{ID: id, Part: n, Parts: len(chunks), Data: chunk})
 		if err != nil {
 			return nil, err
 		}
@@ -113,40 +115,40 @@
 	return records, nil
 }
 
-// Recovery finds the newest whole snapshot among the records that the log still keeps; the zero value has none.
+// Recovery reassembles snapshots from stream records and keeps the newest complete one. The zero value is ready to use.
 type Recovery struct {
-	partial map[string][][]byte
-	best    *Configuration
+	parts  map[string][][]byte
+	newest *Configuration
 }
 
-// Read takes the next record of the stream, and ignores what is not part of a sound snapshot.
+// Read processes the next record of the stream. Records that are not part of a valid snapshot are ignored.
 func (r *Recovery) Read(data []byte) {
-	var rec record
-	var p part
-	if json.Unmarshal(data, &rec) != nil || rec.Kind != recordSnapshot || json.Unmarshal(rec.Snapshot, &p) != nil {
+	var envelope record
+	var p snapshotPart
+	if json.Unmarshal(data, &envelope) != nil || envelope.Kind != recordSnapshot || json.Unmarshal(envelope.Snapshot, &p) != nil {
 		return
 	}
-	if r.partial == nil {
-		r.partial = map[string][][]byte{}
+	if r.parts == nil {
+		r.parts = map[string][][]byte{}
 	}
-	if p.Part != len(r.partial[p.ID]) {
+	if p.Part != len(r.parts[p.ID]) {
 		return
 	}
-	r.partial[p.ID] = append(r.partial[p.ID], p.Data)
-	if len(r.partial[p.ID]) < p.Parts {
+	r.parts[p.ID] = append(r.parts[p.ID], p.Data)
+	if len(r.parts[p.ID]) < p.Parts {
 		return
 	}
-	c, err := Restore(slices.Concat(r.partial[p.ID]...))
-	delete(r.partial, p.ID)
-	if err == nil && (r.best == nil || c.next > r.best.next) {
-		r.best = c
+	c, err := Restore(slices.Concat(r.parts[p.ID]...))
+	delete(r.parts, p.ID)
+	if err == nil && (r.newest == nil || c.next > r.newest.next) {
+		r.newest = c
 	}
 }
 
-// Best is the newest configuration that was found, or nil.
-func (r *Recovery) Best() *Configuration { return r.best }
+// Best returns the newest configuration found so far, or nil.
+func (r *Recovery) Best() *Configuration { return r.newest }
 
-// IsSnapshot tells whether the record is part of a snapshot.
+// IsSnapshot reports whether the record is part of a snapshot.
 func IsSnapshot(data []byte) bool {
 	var r struct {
 		Kind string `json:"kind"`
