--- a/core/settings/callers.go
+++ b/core/settings/callers.go
@@ -6,7 +6,7 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Callers says where callers are served and what one request may take.
+// Callers holds the section callers: the listen address for callers, and the limits on one request.
 type Callers struct {
 	address       string
 	certificate   string
@@ -29,26 +29,27 @@
 	return c
 }
 
-// Address is where callers are served.
+// Address returns the listen address for callers.
 func (c Callers) Address() string { return c.address }
 
-// Certificate is the file of the TLS certificate; empty means no TLS.
+// Certificate returns the file of the TLS certificate; empty disables TLS.
 func (c Callers) Certificate() string { return c.certificate }
 
-// Key is the file of the certificate's key.
+// Key returns the file of the certificate's private key.
 func (c Callers) Key() string { return c.key }
 
-// MaxBody bounds a request's body in bytes.
+// MaxBody returns the maximum size of a request body in bytes.
 func (c Callers) MaxBody() int64 { return c.maxBody }
 
-// MaxHeader bounds a request's headers in bytes.
+// MaxHeader returns the maximum size of the request headers in bytes.
 func (c Callers) MaxHeader() int { return int(c.maxHeader) }
 
-// BodyTimeout bounds the time to read a request's body.
+// BodyTimeout returns the maximum time to read a request body.
 func (c Callers) BodyTimeout() time.Duration { return c.bodyTimeout }
 
-// HeaderTimeout bounds the time to read a request's headers.
+// HeaderTimeout returns the maximum time to read the request headers.
 func (c Callers) HeaderTimeout() time.Duration { return c.headerTimeout }
 
-// LameDuck is how long a stopping router still takes new requests, until the balancer has seen that it is not ready.
+// LameDuck returns how long a stopping router keeps accepting requests after it reports itself unready, so that the
+// load balancer has time to notice.
 func (c Callers) LameDuck() time.Duration { return c.lameDuck }
--- a/core/settings/claims.go
+++ b/core/settings/claims.go
@@ -6,25 +6,26 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Claims bounds the promise that a call runs at most once.
+// Claims holds the section claims: the limits within which a non-repeatable call is guaranteed to run at most once.
 type Claims struct {
-	window time.Duration
-	term   time.Duration
-	count  int64
+	window     time.Duration
+	term       time.Duration
+	partitions int64
 }
 
 func readClaims(t *tomldoc.Table) (c Claims) {
 	c.window = t.Duration("window", 12*time.Hour, time.Second, 1000*time.Hour)
 	c.term = t.Duration("term", 5*time.Second, 10*time.Millisecond, time.Hour)
-	c.count = t.Number("partitions", 16, 1, 1<<16)
+	c.partitions = t.Number("partitions", 16, 1, 1<<16)
 	return c
 }
 
-// Window is how long a key is remembered.
+// Window returns how long an idempotency key is remembered.
 func (c Claims) Window() time.Duration { return c.window }
 
-// Term is how long after its append a claim may be acted on.
+// Term returns how long a claim is valid after it was appended to the log.
 func (c Claims) Term() time.Duration { return c.term }
 
-// Partitions is into how many streams the keys are split; it must be the same on all routers, for good.
-func (c Claims) Partitions() int { return int(c.count) }
+// Partitions returns the number of streams that the keys are distributed over. It must be the same on all routers and
+// must never change.
+func (c Claims) Partitions() int { return int(c.partitions) }
--- a/core/settings/doc.go
+++ b/core/settings/doc.go
@@ -1,2 +1,2 @@
-// Package settings holds the checked settings of one router process, one file for each section.
+// Package settings parses and validates the settings of a router process. Each section has its own file.
 package settings
--- a/core/settings/entry.go
+++ b/core/settings/entry.go
@@ -6,58 +6,58 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Entry are the settings of a router on an entry VM that takes everything else from the platform's store; ParseEntry
-// fills them, and nothing changes them afterwards.
+// Entry holds the settings of a router on an entry VM that takes everything else from the platform's store. It is
+// immutable after ParseEntry.
 type Entry struct {
-	vm        VM
-	cores     float64
-	bootstrap bool
-	memoryMB  float64
-	linkMbps  float64
-	changes   time.Duration
-	drained   time.Duration
-	cold      Cold
-	clients   string
-	readiness string
-	metrics   string
-	peers     string
-	announced string
-	store     string
-	keyTerm   time.Duration
-	grace     time.Duration
-	retries   Retries
-	traces    Traces
+	vm            VM
+	cores         float64
+	bootstrap     bool
+	memoryMB      float64
+	linkMbps      float64
+	changesWithin time.Duration
+	drainedWithin time.Duration
+	cold          Cold
+	clients       string
+	readiness     string
+	metrics       string
+	peers         string
+	announced     string
+	store         string
+	keyTerm       time.Duration
+	grace         time.Duration
+	retries       Retries
+	traces        Traces
 }
 
-// Retries bound the retries of the whole fleet at one service.
+// Retries holds the section retries: the retry budget of the whole fleet for one service.
 type Retries struct {
 	ratio  float64
 	slack  float64
 	window time.Duration
 }
 
-// Ratio is how many retries there may be for each request.
+// Ratio returns the number of retries allowed per request.
 func (r Retries) Ratio() float64 { return r.ratio }
 
-// Slack is how many retries there may be beyond the ratio in a window.
+// Slack returns the number of retries allowed in a window in addition to the ratio.
 func (r Retries) Slack() float64 { return r.slack }
 
-// Window is the time over which both are counted.
+// Window returns the time window over which requests and retries are counted.
 func (r Retries) Window() time.Duration { return r.window }
 
-// Cold is how far beyond their rate endpoints may be sent requests while they are cold, by all routers together.
+// Cold holds the section cold: by how much all routers together may exceed the rate of a cold endpoint.
 type Cold struct {
 	overrun float64
 	slack   float64
 }
 
-// Overrun is how many times its rate a cold endpoint may be sent.
+// Overrun returns the allowed request rate of a cold endpoint as a multiple of its stated rate.
 func (c Cold) Overrun() float64 { return c.overrun }
 
-// Slack is how many requests more it may be sent in a second.
+// Slack returns the number of requests per second allowed in addition to that.
 func (c Cold) Slack() float64 { return c.slack }
 
-// ParseEntry reads and checks a settings file; the error is a tomldoc.Faults with every fault.
+// ParseEntry parses and validates a settings file. The error is a tomldoc.Faults that lists all errors.
 func ParseEntry(file string, data []byte) (s *Entry, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
@@ -82,21 +82,21 @@
 		traces:    readTraces(t.Table("traces")),
 	}
 	const announced = "announced"
-	s.changes = readChanges(t.Table("store"))
-	s.drained = readDrained(t.Table("store"))
-	s.announced = checkAddress(t.Table("peers"), announced, t.Table("peers").Text(announced, s.peers))
+	s.changesWithin = readChangesWithin(t.Table("store"))
+	s.drainedWithin = readDrainedWithin(t.Table("store"))
+	s.announced = validateAddress(t.Table("peers"), announced, t.Table("peers").Text(announced, s.peers))
 	return s, doc.Err()
 }
 
-func readChanges(t *tomldoc.Table) time.Duration {
+func readChangesWithin(t *tomldoc.Table) time.Duration {
 	const usual, least, most = 2 * time.Second, 500 * time.Millisecond, time.Minute
 	return min(
 		t.Duration("configurationWithin", usual, least, most), t.Duration("leavingWithin", usual, least, most),
-		readDrained(t),
+		readDrainedWithin(t),
 	)
 }
 
-func readDrained(t *tomldoc.Table) time.Duration {
+func readDrainedWithin(t *tomldoc.Table) time.Duration {
 	return t.Duration("drainedWithin", 5*time.Second, 500*time.Millisecond, time.Minute)
 }
 
@@ -111,57 +111,58 @@
 	return r
 }
 
-// VM is the machine itself.
+// VM returns the identity of this VM.
 func (s *Entry) VM() VM { return s.vm }
 
-// Cores is how much processor time the VM has.
+// Cores returns the number of CPU cores of the VM.
 func (s *Entry) Cores() float64 { return s.cores }
 
-// Bootstrap tells that the whole fleet starts for the first time.
+// Bootstrap reports whether this is the first start of the whole fleet.
 func (s *Entry) Bootstrap() bool { return s.bootstrap }
 
-// MemoryMB is how much memory a process of the VM may use, 0 when it is not known.
+// MemoryMB returns how much memory a process on the VM may use; 0 means unknown.
 func (s *Entry) MemoryMB() float64 { return s.memoryMB }
 
-// LinkMbps is the bandwidth of the VM's link, 0 when it is not known.
+// LinkMbps returns the network bandwidth of the VM; 0 means unknown.
 func (s *Entry) LinkMbps() float64 { return s.linkMbps }
 
-// Cold bounds what endpoints that have just started are sent.
+// Cold returns the limits on requests to endpoints that have just started.
 func (s *Entry) Cold() Cold { return s.cold }
 
-// DrainedWithin is how long the drain of a failure domain may take to be in force on every router.
-func (s *Entry) DrainedWithin() time.Duration { return s.drained }
+// DrainedWithin returns how long it may take until the drain of a failure domain is in force on every router.
+func (s *Entry) DrainedWithin() time.Duration { return s.drainedWithin }
 
-// ChangesWithin is how long a change at the store may take to be in force on every router: of the configuration, of an
-// endpoint that leaves, or of a failure domain that is drained, whichever is shortest.
-func (s *Entry) ChangesWithin() time.Duration { return s.changes }
+// ChangesWithin returns how long a change in the store may take until it is in force on every router. It is the minimum
+// of the limits for configuration changes, leaving endpoints and drained failure domains.
+func (s *Entry) ChangesWithin() time.Duration { return s.changesWithin }
 
-// Clients is the address where clients are served.
+// Clients returns the listen address for clients.
 func (s *Entry) Clients() string { return s.clients }
 
-// Readiness is the address where the balancer asks whether this router takes new clients.
+// Readiness returns the listen address of the readiness check for the load balancer.
 func (s *Entry) Readiness() string { return s.readiness }
 
-// Metrics is the address of the metrics.
+// Metrics returns the listen address for metrics.
 func (s *Entry) Metrics() string { return s.metrics }
 
-// Announced is the address at which other routers reach this one: that of Peers, unless something stands between them.
+// Announced returns the address at which other routers reach this one. It is that of Peers, unless there is a proxy or
+// NAT between them.
 func (s *Entry) Announced() string { return s.announced }
 
-// Peers is the address where the other routers call.
+// Peers returns the listen address for other routers.
 func (s *Entry) Peers() string { return s.peers }
 
-// Store is the address of the platform's store.
+// Store returns the address of the platform's store.
 func (s *Entry) Store() string { return s.store }
 
-// KeyTerm is how long after its withdrawal a key may still be used.
+// KeyTerm returns how long an API key may still be accepted after its withdrawal.
 func (s *Entry) KeyTerm() time.Duration { return s.keyTerm }
 
-// Grace is how long a process that was told to stop may take.
+// Grace returns how long the process may take to shut down.
 func (s *Entry) Grace() time.Duration { return s.grace }
 
-// Retries bound the retries of the whole fleet.
+// Retries returns the retry budget of the whole fleet.
 func (s *Entry) Retries() Retries { return s.retries }
 
-// Traces says where spans go.
+// Traces returns the destination of trace spans.
 func (s *Entry) Traces() Traces { return s.traces }
--- a/core/settings/entry_test.go
+++ b/core/settings/entry_test.go
@@ -10,7 +10,7 @@
 	"savoryfall/core/settings"
 )
 
-const soundEntry = `[vm]
+const validEntry = `[vm]
 name = "entry-1"
 failureDomain = "temuco-uno"
 [clients]
@@ -26,7 +26,7 @@
 `
 
 func TestEntryDefaults(t *testing.T) {
-	s, err := settings.ParseEntry("entry.toml", []byte(soundEntry))
+	s, err := settings.ParseEntry("entry.toml", []byte(validEntry))
 	assert.NilError(t, err)
 	assert.Equal(t, s.KeyTerm(), 5*time.Second)
 	assert.Equal(t, s.Grace(), 8*time.Second)
@@ -35,11 +35,11 @@
 	assert.Equal(t, s.Store(), "10.200.1.7:8223")
 }
 
-// Every fault is reported at once, with its line, its key, what was found and what is allowed.
+// All errors are reported at once, each with its line, its key, what was found and what is allowed.
 func TestBadEntrySettings(t *testing.T) {
 	for name, text := range map[string]string{
-		"entryMisspelt":   soundEntry + "[retries]\nration = 0.5\n",
-		"entryOutOfRange": soundEntry + "[retries]\nratio = -1\nwindow = \"1ms\"\n[keys]\nwithdrawnWithin = \"ms\"\n",
+		"entryMisspelt":   validEntry + "[retries]\nration = 0.5\n",
+		"entryOutOfRange": validEntry + "[retries]\nratio = -1\nwindow = \"1ms\"\n[keys]\nwithdrawnWithin = \"ms\"\n",
 		"entryMissing":    "[vm]\nname = \"entry-1\"\ncores = \"many\"\n[store]\naddress = \"store:80\"\n",
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/core/settings/limits.go
+++ b/core/settings/limits.go
@@ -6,22 +6,22 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Limits bounds what the fleet takes on and how long it tries.
+// Limits holds the section limits: concurrency, queue length, timeouts and retries.
 type Limits struct {
-	deadline    time.Duration
-	firstToken  time.Duration
-	betweenGap  time.Duration
-	attempts    int64
-	retryRatio  float64
-	concurrency int64
-	queue       int64
-	drain       time.Duration
+	deadline      time.Duration
+	firstToken    time.Duration
+	betweenTokens time.Duration
+	attempts      int64
+	retryRatio    float64
+	concurrency   int64
+	queue         int64
+	drain         time.Duration
 }
 
 func readLimits(t *tomldoc.Table) (l Limits) {
 	l.deadline = t.Duration("deadline", 5*time.Minute, 10*time.Millisecond, 24*time.Hour)
 	l.firstToken = t.Duration("firstToken", 30*time.Second, 10*time.Millisecond, time.Hour)
-	l.betweenGap = t.Duration("betweenTokens", 10*time.Second, 10*time.Millisecond, time.Hour)
+	l.betweenTokens = t.Duration("betweenTokens", 10*time.Second, 10*time.Millisecond, time.Hour)
 	l.attempts = t.Number("attempts", 3, 1, 10)
 	l.retryRatio = t.Real("retryRatio", 0.2, 0, 1)
 	l.concurrency = t.Number("requestsPerEndpoint", 64, 1, 100000)
@@ -30,26 +30,27 @@
 	return l
 }
 
-// Deadline is how long a request may take when its caller does not say.
+// Deadline returns the time limit of a request. It is the default for callers that set none, and the maximum for those
+// that do.
 func (l Limits) Deadline() time.Duration { return l.deadline }
 
-// FirstToken is how long an attempt may take until the answer begins.
+// FirstToken returns how long an attempt may take until the response starts.
 func (l Limits) FirstToken() time.Duration { return l.firstToken }
 
-// BetweenTokens is how long a stream may be silent before it counts as cut.
-func (l Limits) BetweenTokens() time.Duration { return l.betweenGap }
+// BetweenTokens returns how long a stream may be silent before it is considered broken.
+func (l Limits) BetweenTokens() time.Duration { return l.betweenTokens }
 
-// Attempts bounds the attempts for one request.
+// Attempts returns the maximum number of attempts per request.
 func (l Limits) Attempts() int { return int(l.attempts) }
 
-// RetryRatio is how many retries there may be for each first attempt.
+// RetryRatio returns the number of retries allowed per first attempt.
 func (l Limits) RetryRatio() float64 { return l.retryRatio }
 
-// Concurrency is how many requests one endpoint of weight one may hold.
+// Concurrency returns the maximum number of concurrent requests at an endpoint of weight 1.
 func (l Limits) Concurrency() int { return int(l.concurrency) }
 
-// Queue is how many requests may wait in this router.
+// Queue returns the maximum number of requests queued in this router.
 func (l Limits) Queue() int { return int(l.queue) }
 
-// Drain bounds how long a planned stop waits for requests in flight.
+// Drain returns how long a planned shutdown waits for requests in flight.
 func (l Limits) Drain() time.Duration { return l.drain }
--- a/core/settings/operators.go
+++ b/core/settings/operators.go
@@ -2,7 +2,7 @@
 
 import "savoryfall/core/tomldoc"
 
-// Operators says where status, explanations and metrics are served.
+// Operators holds the section operators: the listener for status, explanations and metrics.
 type Operators struct {
 	address     string
 	certificate string
@@ -15,11 +15,11 @@
 	return o
 }
 
-// Address is where operators are served; it must not be reachable for callers.
+// Address returns the listen address for operators. It must not be reachable by callers.
 func (o Operators) Address() string { return o.address }
 
-// Certificate is the file of the TLS certificate; empty means no TLS.
+// Certificate returns the file of the TLS certificate; empty disables TLS.
 func (o Operators) Certificate() string { return o.certificate }
 
-// Key is the file of the certificate's key.
+// Key returns the file of the certificate's private key.
 func (o Operators) Key() string { return o.key }
--- a/core/settings/peers.go
+++ b/core/settings/peers.go
@@ -6,14 +6,14 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Peers says how the routers of the fleet speak to each other.
+// Peers holds the section peers: communication between the routers of the fleet.
 type Peers struct {
-	address     string
-	certificate string
-	key         string
-	authority   string
-	period      time.Duration
-	budget      int64
+	address        string
+	certificate    string
+	key            string
+	authority      string
+	period         time.Duration
+	bytesPerSecond int64
 }
 
 func readPeers(t *tomldoc.Table) (p Peers) {
@@ -21,27 +21,27 @@
 	p.certificate, p.key = readCertificate(t)
 	p.authority = t.Text("authority", "")
 	p.period = t.Duration("period", time.Second, 20*time.Millisecond, time.Minute)
-	p.budget = t.Number("budgetBytesPerSecond", 2048, 512, 1<<20)
+	p.bytesPerSecond = t.Number("budgetBytesPerSecond", 2048, 512, 1<<20)
 	if p.certificate != "" && p.authority == "" {
-		t.Fault("authority", "nothing", "the certificate file of the authority that signed the peers")
+		t.Fault("authority", "nothing", "the file of the CA certificates that signed the peers' certificates")
 	}
 	return p
 }
 
-// Address is where peers are served.
+// Address returns the listen address for other routers.
 func (p Peers) Address() string { return p.address }
 
-// Certificate is the file of the TLS certificate that both sides show; empty means no TLS.
+// Certificate returns the file of the TLS certificate that is presented in both directions; empty disables TLS.
 func (p Peers) Certificate() string { return p.certificate }
 
-// Key is the file of the certificate's key.
+// Key returns the file of the certificate's private key.
 func (p Peers) Key() string { return p.key }
 
-// Authority is the file of the certificates that peers are checked against.
+// Authority returns the file of the CA certificates that peers are verified against.
 func (p Peers) Authority() string { return p.authority }
 
-// Period is how often this router exchanges heartbeats and load digests.
+// Period returns the interval at which heartbeats and load digests are exchanged.
 func (p Peers) Period() time.Duration { return p.period }
 
-// Budget is how many bytes a second control traffic may take.
-func (p Peers) Budget() int64 { return p.budget }
+// Budget returns the limit on control traffic in bytes per second.
+func (p Peers) Budget() int64 { return p.bytesPerSecond }
--- a/core/settings/platform.go
+++ b/core/settings/platform.go
@@ -7,7 +7,7 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Platform says where the platform's services are.
+// Platform holds the section platform: the addresses of the platform's services.
 type Platform struct {
 	log         string
 	vmList      string
@@ -36,20 +36,20 @@
 	return text
 }
 
-// Log is the base URL of the log service.
+// Log returns the base URL of the log service.
 func (p Platform) Log() string { return p.log }
 
-// VMList is the base URL of the VM list.
+// VMList returns the base URL of the VM list.
 func (p Platform) VMList() string { return p.vmList }
 
-// WeightStore is the base URL of the weight store; empty means that engines are given no orders.
+// WeightStore returns the base URL of the weight store; empty means that no orders are given to engines.
 func (p Platform) WeightStore() string { return p.weightStore }
 
-// Authority is the file of the certificates that the platform is checked against; empty means the system's.
+// Authority returns the file of the CA certificates that the platform is verified against; empty selects the system's.
 func (p Platform) Authority() string { return p.authority }
 
-// VMPeriod is how often the VM list is read.
+// VMPeriod returns the interval at which the VM list is read.
 func (p Platform) VMPeriod() time.Duration { return p.vmPeriod }
 
-// Retention is how long the log keeps a record.
+// Retention returns how long the log keeps a record.
 func (p Platform) Retention() time.Duration { return p.retention }
--- a/core/settings/routing.go
+++ b/core/settings/routing.go
@@ -7,7 +7,7 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Routing says how requests are placed on endpoints.
+// Routing holds the section routing: how requests are placed on endpoints.
 type Routing struct {
 	policy      string
 	bound       float64
@@ -27,20 +27,21 @@
 	return r
 }
 
-// Policy is the name of the placement policy.
+// Policy returns the name of the placement policy.
 func (r Routing) Policy() string { return r.policy }
 
-// Bound is the multiple of the mean load that no endpoint is loaded beyond.
+// Bound returns the maximum load of an endpoint as a multiple of the mean load.
 func (r Routing) Bound() float64 { return r.bound }
 
-// TicketKey is the file of the secret that seals tickets; empty means no tickets.
+// TicketKey returns the file of the secret that authenticates tickets; empty disables tickets.
 func (r Routing) TicketKey() string { return r.ticketKey }
 
-// ProbePeriod is how often an endpoint that is not heard otherwise is asked for its report.
+// ProbePeriod returns the interval at which an endpoint is probed for its report, unless one has arrived otherwise.
 func (r Routing) ProbePeriod() time.Duration { return r.probePeriod }
 
-// NewBound is the bound for chats that are new, and lose nothing by going elsewhere.
+// NewBound returns the bound for new chats. It is separate from Bound because a new chat has no cached prefix to lose
+// by being placed on another endpoint.
 func (r Routing) NewBound() float64 { return r.newBound }
 
-// Maturity is how long returning chats pass an endpoint over that has just come.
+// Maturity returns how long a newly added endpoint is skipped when returning chats are placed.
 func (r Routing) Maturity() time.Duration { return r.maturity }
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -6,7 +6,7 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Settings are those of one router process; Parse fills them, and nothing changes them afterwards.
+// Settings holds the settings of a router process. It is immutable after Parse.
 type Settings struct {
 	vm        VM
 	callers   Callers
@@ -20,7 +20,7 @@
 	traces    Traces
 }
 
-// Parse reads and checks a settings file; the error is a tomldoc.Faults with every fault.
+// Parse parses and validates a settings file. The error is a tomldoc.Faults that lists all errors.
 func Parse(file string, data []byte) (s *Settings, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
@@ -38,42 +38,43 @@
 	s.claims = readClaims(t.Table("claims"))
 	s.orders = readOrders(t.Table("orders"))
 	s.traces = readTraces(t.Table("traces"))
-	s.checkAddresses(t)
+	s.checkDuplicateAddresses(t)
 	return s, doc.Err()
 }
 
-// VM is the section of the machine itself.
+// VM returns the section vm.
 func (s *Settings) VM() VM { return s.vm }
 
-// Callers is the section of the address for callers.
+// Callers returns the section callers.
 func (s *Settings) Callers() Callers { return s.callers }
 
-// Operators is the section of the address for operators.
+// Operators returns the section operators.
 func (s *Settings) Operators() Operators { return s.operators }
 
-// Peers is the section of the other routers.
+// Peers returns the section peers.
 func (s *Settings) Peers() Peers { return s.peers }
 
-// Platform is the section of the platform's services.
+// Platform returns the section platform.
 func (s *Settings) Platform() Platform { return s.platform }
 
-// Routing is the section of the placement.
+// Routing returns the section routing.
 func (s *Settings) Routing() Routing { return s.routing }
 
-// Limits is the section of bounds and deadlines.
+// Limits returns the section limits.
 func (s *Settings) Limits() Limits { return s.limits }
 
-// Claims is the section of calls that may not be repeated.
+// Claims returns the section claims.
 func (s *Settings) Claims() Claims { return s.claims }
 
-// Orders is the section of orders to engines.
+// Orders returns the section orders.
 func (s *Settings) Orders() Orders { return s.orders }
 
-// Traces is the section of traces.
+// Traces returns the section traces.
 func (s *Settings) Traces() Traces { return s.traces }
 
-// checkAddresses finds two sections that would listen on one address, which shows only at the start of the second.
-func (s *Settings) checkAddresses(t *tomldoc.Table) {
+// checkDuplicateAddresses reports sections with the same listen address. Without it the error would show only when the
+// second listener is started.
+func (s *Settings) checkDuplicateAddresses(t *tomldoc.Table) {
 	seen := map[string]string{}
 	for _, listener := range []struct{ section, address string }{
 		{"callers", s.callers.address},
@@ -85,31 +86,31 @@
 			continue
 		}
 		if first, taken := seen[listener.address]; taken {
-			t.Table(listener.section).Fault("address", listener.address, "an address that no other section has; "+first+" has it")
+			t.Table(listener.section).Fault("address", listener.address, "an address that no other section uses; "+first+" uses it")
 		}
 		seen[listener.address] = listener.section
 	}
 }
 
-// readAddress takes an IP number and a port to listen on.
+// readAddress reads the address of a section: an IP address and a port.
 func readAddress(t *tomldoc.Table) string {
 	const key = "address"
-	return checkAddress(t, key, t.Required(key))
+	return validateAddress(t, key, t.Required(key))
 }
 
-func checkAddress(t *tomldoc.Table, key, address string) string {
+func validateAddress(t *tomldoc.Table, key, address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if address != "" && (err != nil || net.ParseIP(host) == nil) {
-		t.Fault(key, address, "an IP number and a port, such as 127.0.0.1:8080")
+		t.Fault(key, address, "an IP address and a port, such as 127.0.0.1:8080")
 	}
 	return address
 }
 
-// readCertificate takes a pair of files, of which none or both must be named.
+// readCertificate reads the files of a certificate and its key. Either both or neither must be set.
 func readCertificate(t *tomldoc.Table) (certificate, key string) {
 	certificate, key = t.Text("certificate", ""), t.Text("key", "")
 	if certificate != "" && key == "" {
-		t.Fault("key", "nothing", "the key file of the certificate")
+		t.Fault("key", "nothing", "the private key file of the certificate")
 	}
 	if certificate == "" && key != "" {
 		t.Fault("certificate", "nothing", "the certificate file of the key")
--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"savoryfall/core/settings"
 )
 
-const sound = `[vm]
+const validSettings = `[vm]
 name = "entry-1"
 failureDomain = "temuco-uno"
 failureDomains = ["temuco-uno", "temuco-dos"]
@@ -25,19 +25,19 @@
 `
 
 func TestDefaultsFillTheRest(t *testing.T) {
-	s, err := settings.Parse("router.toml", []byte(sound))
+	s, err := settings.Parse("router.toml", []byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Routing().Policy(), "bounded")
 	assert.Equal(t, s.Routing().Bound(), 1.3)
 	assert.Equal(t, s.Limits().Attempts(), 3)
 }
 
-// Every fault is reported at once, with its line, its key, what was found and what is allowed.
+// All errors are reported at once, each with its line, its key, what was found and what is allowed.
 func TestBadSettings(t *testing.T) {
-	for _, given := range []struct{ name, text string }{
-		{"misspelt", sound + "[routing]\nbuond = 1.5\n"},
-		{"wrongTypes", sound + "[limits]\nattempts = \"three\"\ndeadline = 5\n[routing]\nbound = \"high\"\n"},
-		{"outOfRange", sound + "[limits]\nattempts = 0\nretryRatio = 3.5\n"},
+	for _, tc := range []struct{ name, text string }{
+		{"misspelt", validSettings + "[routing]\nbuond = 1.5\n"},
+		{"wrongTypes", validSettings + "[limits]\nattempts = \"three\"\ndeadline = 5\n[routing]\nbound = \"high\"\n"},
+		{"outOfRange", validSettings + "[limits]\nattempts = 0\nretryRatio = 3.5\n"},
 		{"missing", "[vm]\nname = \"entry-1\"\n"},
 		{"duplicateAddress", `[vm]
 name = "entry-1"
@@ -68,17 +68,17 @@
 vmList = "http://127.0.0.1:7101"
 `},
 	} {
-		t.Run(given.name, func(t *testing.T) {
-			_, err := settings.Parse("router.toml", []byte(given.text))
+		t.Run(tc.name, func(t *testing.T) {
+			_, err := settings.Parse("router.toml", []byte(tc.text))
 			assert.Assert(t, err != nil)
-			golden.Assert(t, err.Error()+"\n", given.name+".golden")
+			golden.Assert(t, err.Error()+"\n", tc.name+".golden")
 		})
 	}
 }
 
-// FuzzParse feeds foreign bytes; nothing may panic.
+// FuzzParse checks that no input causes a panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := settings.Parse("fuzz", data)
 		assert.Assert(t, err != nil || s != nil)
--- a/core/settings/traces.go
+++ b/core/settings/traces.go
@@ -2,7 +2,7 @@
 
 import "savoryfall/core/tomldoc"
 
-// Traces says where spans go; at most one of the two is set.
+// Traces holds the section traces: the destination of trace spans. At most one of the two is set.
 type Traces struct {
 	otlp string
 	file string
@@ -17,8 +17,8 @@
 	return s
 }
 
-// OTLP is the URL that spans are posted to.
+// OTLP returns the URL that spans are sent to.
 func (s Traces) OTLP() string { return s.otlp }
 
-// File is the file that spans are appended to.
+// File returns the file that spans are appended to.
 func (s Traces) File() string { return s.file }
--- a/core/settings/vm.go
+++ b/core/settings/vm.go
@@ -7,7 +7,7 @@
 	"savoryfall/core/tomldoc"
 )
 
-// VM says which machine this is and where it stands.
+// VM holds the section vm: the identity and location of this VM.
 type VM struct {
 	name           string
 	failureDomain  string
@@ -26,11 +26,11 @@
 	return v
 }
 
-// Name is unique in the fleet.
+// Name returns the name of the VM, which is unique in the fleet.
 func (v VM) Name() string { return v.name }
 
-// FailureDomain is the part of the region that fails together with this VM.
+// FailureDomain returns the failure domain of the VM: the part of the region that fails together with it.
 func (v VM) FailureDomain() string { return v.failureDomain }
 
-// Region is the set of failure domains that share load digests.
+// Region returns the region. Load digests are shared between the failure domains of a region.
 func (v VM) Region() string { return v.region }
