--- a/core/tomldoc/doc.go
+++ b/core/tomldoc/doc.go
@@ -1,2 +1,2 @@
-// Package tomldoc reads TOML by key and collects every fault with its file, line and key.
+// Package tomldoc reads typed values from TOML documents and collects all errors, each with its file, line and key.
 package tomldoc
--- a/core/tomldoc/document.go
+++ b/core/tomldoc/document.go
@@ -10,20 +10,21 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Document is one TOML file that remembers which keys were read and which faults were found.
+// Document is a parsed TOML document. It records which keys were read and which errors were found.
 type Document struct {
-	file   string
-	root   map[string]any
-	lines  map[string]int
-	read   map[string]bool
-	faults Faults
+	file     string
+	root     map[string]any
+	lines    map[string]int
+	readKeys map[string]bool
+	faults   Faults
 }
 
-// Parse reads the TOML text of the named file; the error is a Faults with the place of the syntax error.
+// Parse parses TOML text; file is used in error messages only. The error is a Faults with the position of the syntax
+// error.
 func Parse(file string, data []byte) (doc *Document, err error) {
-	doc = &Document{file: file, lines: map[string]int{}, read: map[string]bool{}}
+	doc = &Document{file: file, lines: map[string]int{}, readKeys: map[string]bool{}}
 	if !utf8.Valid(data) {
-		return nil, Faults{{File: file, Line: invalidLine(data), Found: "a byte that is not UTF-8", Allowed: "UTF-8 text"}}
+		return nil, Faults{{File: file, Line: invalidUTF8Line(data), Found: "a byte that is not UTF-8", Allowed: "UTF-8 text"}}
 	}
 	err = toml.Unmarshal(data, &doc.root)
 	if err != nil {
@@ -33,7 +34,7 @@
 	return doc, nil
 }
 
-func invalidLine(data []byte) (line int) {
+func invalidUTF8Line(data []byte) (line int) {
 	valid := 0
 	for valid < len(data) {
 		r, size := utf8.DecodeRune(data[valid:])
@@ -55,17 +56,18 @@
 	return f
 }
 
-// Root is the table that holds the whole document.
+// Root returns the top-level table.
 func (d *Document) Root() *Table {
 	return &Table{doc: d, values: d.root}
 }
 
-// Err returns every fault found so far and one for each key that nobody asked for, or nil.
+// Err returns all errors found so far and one for each key that was never read, or nil if there are none. Call it after
+// all keys were read.
 func (d *Document) Err() error {
 	faults := append(Faults{}, d.faults...)
 	for path := range d.lines {
-		if !d.read[path] {
-			faults = append(faults, d.unknown(path))
+		if !d.readKeys[path] {
+			faults = append(faults, d.unknownKey(path))
 		}
 	}
 	if len(faults) == 0 {
@@ -80,33 +82,35 @@
 	return faults
 }
 
-func (d *Document) unknown(path string) Fault {
-	return Fault{File: d.file, Line: d.lines[path], Key: path, Found: "an unknown key", Allowed: d.siblings(path)}
+func (d *Document) unknownKey(path string) Fault {
+	return Fault{File: d.file, Line: d.lines[path], Key: path, Found: "an unknown key", Allowed: d.allowedKeys(path)}
 }
 
-// siblings names the keys that were asked for beside path, so that a misspelling is seen at once.
-func (d *Document) siblings(path string) string {
+// allowedKeys lists the keys that were read from the same table, so that the message for a misspelled key shows the
+// right spelling.
+func (d *Document) allowedKeys(path string) string {
 	parent := path[:strings.LastIndex(path, ".")+1]
 	var known []string
-	for p := range d.read {
-		rest, inside := strings.CutPrefix(p, parent)
-		if inside && rest != "" && !strings.ContainsAny(rest, ".[") {
-			known = append(known, rest)
+	for p := range d.readKeys {
+		key, ok := strings.CutPrefix(p, parent)
+		if ok && key != "" && !strings.ContainsAny(key, ".[") {
+			known = append(known, key)
 		}
 	}
 	sort.Strings(known)
 	if len(known) == 0 {
-		return "nothing here"
+		return "no keys in this table"
 	}
 	return "one of " + strings.Join(known, ", ")
 }
 
-func (d *Document) add(path, found, allowed string) {
-	d.faults = append(d.faults, Fault{File: d.file, Line: d.line(path), Key: path, Found: found, Allowed: allowed})
+func (d *Document) addFault(path, found, allowed string) {
+	d.faults = append(d.faults, Fault{File: d.file, Line: d.lineOf(path), Key: path, Found: found, Allowed: allowed})
 }
 
-// line falls back to the nearest enclosing table that has a line, so that a missing key points somewhere useful.
-func (d *Document) line(path string) int {
+// lineOf returns the line of the key. For a missing key it returns the line of the innermost enclosing table that has
+// one.
+func (d *Document) lineOf(path string) int {
 	for path != "" {
 		if n, ok := d.lines[path]; ok {
 			return n
@@ -116,7 +120,7 @@
 	return 1
 }
 
-// Fault is one mistake in a file: where it stands, what was found and what is allowed.
+// Fault is one error in a document: its position, what was found and what is allowed.
 type Fault struct {
 	File    string
 	Line    int
@@ -125,7 +129,7 @@
 	Allowed string
 }
 
-// Error is the fault as one line that an editor can jump to.
+// Error formats the fault as file:line, which editors can jump to.
 func (f Fault) Error() string {
 	if f.Key == "" {
 		return fmt.Sprintf("%s:%d: found %s; allowed: %s", f.File, f.Line, f.Found, f.Allowed)
@@ -133,10 +137,10 @@
 	return fmt.Sprintf("%s:%d: %s: found %s; allowed: %s", f.File, f.Line, f.Key, f.Found, f.Allowed)
 }
 
-// Faults is every fault of one file, in the order of its lines.
+// Faults lists all errors of a document, sorted by line.
 type Faults []Fault
 
-// Error is all faults, one a line.
+// Error returns all faults, one per line.
 func (fs Faults) Error() string {
 	lines := make([]string, 0, len(fs))
 	for _, f := range fs {
@@ -145,7 +149,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// FromValues makes a document of values that were read earlier; its faults carry no line.
+// FromValues makes a document of values that were parsed earlier. Its faults have no line numbers.
 func FromValues(file string, values map[string]any) *Document {
-	return &Document{file: file, root: values, lines: map[string]int{}, read: map[string]bool{}}
+	return &Document{file: file, root: values, lines: map[string]int{}, readKeys: map[string]bool{}}
 }
--- a/core/tomldoc/lines.go
+++ b/core/tomldoc/lines.go
@@ -6,88 +6,89 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineIndex walks the expressions of a document that is known to be valid.
+// lineIndex collects the line of each key by walking the syntax tree of a valid document.
 type lineIndex struct {
-	parser unstable.Parser
-	lines  map[string]int
-	arrays map[string]int
-	prefix string
+	parser       unstable.Parser
+	lines        map[string]int
+	arrayLengths map[string]int
+	table        string
 }
 
 func keyLines(data []byte) map[string]int {
-	x := &lineIndex{lines: map[string]int{}, arrays: map[string]int{}}
+	x := &lineIndex{lines: map[string]int{}, arrayLengths: map[string]int{}}
 	x.parser.Reset(data)
 	for x.parser.NextExpression() {
-		x.expression(x.parser.Expression())
+		x.visitExpression(x.parser.Expression())
 	}
 	return x.lines
 }
 
-func (x *lineIndex) expression(e *unstable.Node) {
+func (x *lineIndex) visitExpression(e *unstable.Node) {
 	switch e.Kind {
 	case unstable.Table:
-		x.prefix = x.walk("", e, false)
+		x.table = x.visitKey("", e, false)
 	case unstable.ArrayTable:
-		x.prefix = x.walk("", e, true)
+		x.table = x.visitKey("", e, true)
 	case unstable.KeyValue:
-		x.pair(x.prefix, e)
+		x.visitPair(x.table, e)
 	}
 }
 
-// walk follows the dotted key of e below path, and opens a new element when e is an array table.
-func (x *lineIndex) walk(path string, e *unstable.Node, opens bool) string {
+// visitKey records the lines of the parts of a dotted key below path, and returns the full path. If e is the header of
+// an array table, the last part starts a new element.
+func (x *lineIndex) visitKey(path string, e *unstable.Node, isArrayTable bool) string {
 	it := e.Key()
 	for it.Next() {
 		k := it.Node()
-		path = join(path, string(k.Data))
+		path = joinPath(path, string(k.Data))
 		line := x.parser.Shape(k.Raw).Start.Line
-		if opens && it.IsLast() {
-			x.note(path, line)
-			x.arrays[path]++
+		if isArrayTable && it.IsLast() {
+			x.setLine(path, line)
+			x.arrayLengths[path]++
 		}
-		if n := x.arrays[path]; n > 0 {
-			path = element(path, n-1)
+		if n := x.arrayLengths[path]; n > 0 {
+			path = elementPath(path, n-1)
 		}
-		x.note(path, line)
+		x.setLine(path, line)
 	}
 	return path
 }
 
-func (x *lineIndex) note(path string, line int) {
+func (x *lineIndex) setLine(path string, line int) {
 	if _, ok := x.lines[path]; !ok {
 		x.lines[path] = line
 	}
 }
 
-func (x *lineIndex) pair(prefix string, e *unstable.Node) {
-	path := x.walk(prefix, e, false)
-	x.value(path, e.Value())
+func (x *lineIndex) visitPair(prefix string, e *unstable.Node) {
+	path := x.visitKey(prefix, e, false)
+	x.visitValue(path, e.Value())
 }
 
-func (x *lineIndex) value(path string, v *unstable.Node) {
+func (x *lineIndex) visitValue(path string, v *unstable.Node) {
 	switch v.Kind {
 	case unstable.InlineTable:
 		for it := v.Children(); it.Next(); {
-			x.pair(path, it.Node())
+			x.visitPair(path, it.Node())
 		}
 	case unstable.Array:
 		i := 0
 		for it := v.Children(); it.Next(); i++ {
 			if it.Node().Kind == unstable.InlineTable {
-				x.note(element(path, i), x.lines[path])
-				x.value(element(path, i), it.Node())
+				x.setLine(elementPath(path, i), x.lines[path])
+				x.visitValue(elementPath(path, i), it.Node())
 			}
 		}
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func element(path string, i int) string {
+func elementPath(path string, i int) string {
 	return fmt.Sprintf("%s[%d]", path, i)
 }
--- a/core/tomldoc/table.go
+++ b/core/tomldoc/table.go
@@ -8,38 +8,39 @@
 	"time"
 )
 
-// Table is one table of a document; a getter returns its fallback and records a fault when the value does not fit.
+// Table is a table of a document. Its getters return the fallback if the key is absent. If the value is invalid, they
+// also record a fault.
 type Table struct {
 	doc    *Document
 	path   string
 	values map[string]any
 }
 
-// Path is the full key of the table in its document.
+// Path returns the full key of the table.
 func (t *Table) Path() string { return t.path }
 
-// Has tells whether the key is present.
+// Has reports whether the key is present.
 func (t *Table) Has(key string) bool {
 	_, ok := t.values[key]
 	return ok
 }
 
-// Fault records that the value of key was found to be wrong.
+// Fault records that the value of the key is invalid.
 func (t *Table) Fault(key, found, allowed string) {
-	t.doc.add(join(t.path, key), found, allowed)
+	t.doc.addFault(joinPath(t.path, key), found, allowed)
 }
 
 func (t *Table) value(key string) (v any, ok bool) {
-	t.doc.read[join(t.path, key)] = true
+	t.doc.readKeys[joinPath(t.path, key)] = true
 	v, ok = t.values[key]
 	return v, ok
 }
 
-func (t *Table) wrong(key string, v any, allowed string) {
+func (t *Table) addInvalid(key string, v any, allowed string) {
 	t.Fault(key, describe(v), allowed)
 }
 
-// describe says a value in the words of TOML.
+// describe formats a value with its TOML type.
 func describe(v any) string {
 	switch v.(type) {
 	case string:
@@ -58,7 +59,7 @@
 	return fmt.Sprintf("%v", v)
 }
 
-// Text reads a string.
+// Text returns a string.
 func (t *Table) Text(key, fallback string) string {
 	v, ok := t.value(key)
 	if !ok {
@@ -66,13 +67,13 @@
 	}
 	s, ok := v.(string)
 	if !ok {
-		t.wrong(key, v, "a string")
+		t.addInvalid(key, v, "a string")
 		return fallback
 	}
 	return s
 }
 
-// Required reads a string that must be there and not be empty.
+// Required returns a string that must be present and not empty.
 func (t *Table) Required(key string) string {
 	s := t.Text(key, "")
 	if s == "" && (!t.Has(key) || t.values[key] == "") {
@@ -81,7 +82,7 @@
 	return s
 }
 
-// Choice reads a string that must be one of the allowed ones.
+// Choice returns a string that must be one of the allowed ones.
 func (t *Table) Choice(key, fallback string, allowed ...string) string {
 	s := t.Text(key, fallback)
 	if !slices.Contains(allowed, s) {
@@ -91,7 +92,7 @@
 	return s
 }
 
-// Number reads a whole number between lowest and highest.
+// Number returns an integer between lowest and highest.
 func (t *Table) Number(key string, fallback, lowest, highest int64) int64 {
 	v, ok := t.value(key)
 	if !ok {
@@ -99,30 +100,30 @@
 	}
 	n, ok := v.(int64)
 	if !ok || n < lowest || n > highest {
-		t.wrong(key, v, fmt.Sprintf("a whole number from %d to %d", lowest, highest))
+		t.addInvalid(key, v, fmt.Sprintf("a whole number from %d to %d", lowest, highest))
 		return fallback
 	}
 	return n
 }
 
-// Real reads a number between lowest and highest; a whole number is taken too.
+// Real returns a number between lowest and highest. An integer is accepted too.
 func (t *Table) Real(key string, fallback, lowest, highest float64) float64 {
 	v, ok := t.value(key)
 	if !ok {
 		return fallback
 	}
 	f, ok := v.(float64)
-	if n, whole := v.(int64); whole {
+	if n, isInt := v.(int64); isInt {
 		f, ok = float64(n), true
 	}
 	if !ok || math.IsNaN(f) || f < lowest || f > highest {
-		t.wrong(key, v, fmt.Sprintf("a number from %v to %v", lowest, highest))
+		t.addInvalid(key, v, fmt.Sprintf("a number from %v to %v", lowest, highest))
 		return fallback
 	}
 	return f
 }
 
-// Flag reads true or false.
+// Flag returns a boolean.
 func (t *Table) Flag(key string, fallback bool) bool {
 	v, ok := t.value(key)
 	if !ok {
@@ -130,13 +131,13 @@
 	}
 	b, ok := v.(bool)
 	if !ok {
-		t.wrong(key, v, "true or false")
+		t.addInvalid(key, v, "true or false")
 		return fallback
 	}
 	return b
 }
 
-// Duration reads a string such as "250ms" between lowest and highest.
+// Duration returns a duration between lowest and highest, written as a string such as "250ms".
 func (t *Table) Duration(key string, fallback, lowest, highest time.Duration) time.Duration {
 	v, ok := t.value(key)
 	if !ok {
@@ -145,13 +146,13 @@
 	s, _ := v.(string)
 	d, err := time.ParseDuration(s)
 	if err != nil || d < lowest || d > highest {
-		t.wrong(key, v, fmt.Sprintf("a duration from %v to %v, such as \"250ms\"", lowest, highest))
+		t.addInvalid(key, v, fmt.Sprintf("a duration from %v to %v, such as \"250ms\"", lowest, highest))
 		return fallback
 	}
 	return d
 }
 
-// Texts reads an array of strings.
+// Texts returns an array of strings.
 func (t *Table) Texts(key string) (texts []string) {
 	v, ok := t.value(key)
 	if !ok {
@@ -159,13 +160,13 @@
 	}
 	list, ok := v.([]any)
 	if !ok {
-		t.wrong(key, v, "an array of strings")
+		t.addInvalid(key, v, "an array of strings")
 		return nil
 	}
 	for _, item := range list {
 		s, ok := item.(string)
 		if !ok {
-			t.wrong(key, item, "an array of strings")
+			t.addInvalid(key, item, "an array of strings")
 			return nil
 		}
 		texts = append(texts, s)
@@ -173,21 +174,21 @@
 	return texts
 }
 
-// Table reads a table; one that is absent reads as empty.
+// Table returns a subtable. An absent one is treated as empty.
 func (t *Table) Table(key string) *Table {
 	v, ok := t.value(key)
-	sub := &Table{doc: t.doc, path: join(t.path, key)}
+	table := &Table{doc: t.doc, path: joinPath(t.path, key)}
 	if !ok {
-		return sub
+		return table
 	}
-	sub.values, ok = v.(map[string]any)
+	table.values, ok = v.(map[string]any)
 	if !ok {
-		t.wrong(key, v, "a table")
+		t.addInvalid(key, v, "a table")
 	}
-	return sub
+	return table
 }
 
-// Tables reads an array of tables.
+// Tables returns an array of tables.
 func (t *Table) Tables(key string) (tables []*Table) {
 	v, ok := t.value(key)
 	if !ok {
@@ -195,21 +196,21 @@
 	}
 	list, ok := v.([]any)
 	if !ok {
-		t.wrong(key, v, "an array of tables")
+		t.addInvalid(key, v, "an array of tables")
 		return nil
 	}
 	for i, item := range list {
-		path := element(join(t.path, key), i)
+		path := elementPath(joinPath(t.path, key), i)
 		values, ok := item.(map[string]any)
 		if !ok {
-			t.wrong(key, item, "an array of tables")
+			t.addInvalid(key, item, "an array of tables")
 			return tables
 		}
-		t.doc.read[path] = true
+		t.doc.readKeys[path] = true
 		tables = append(tables, &Table{doc: t.doc, path: path, values: values})
 	}
 	return tables
 }
 
-// Values are the raw values of the table; they must not be changed.
+// Values returns the raw values of the table. The caller must not modify them.
 func (t *Table) Values() map[string]any { return t.values }
