--- a/core/note/doc.go
+++ b/core/note/doc.go
@@ -1,2 +1,3 @@
-// Package note parses and checks release notes, the only way operators change the fleet.
+// Package note parses and validates release notes. Operators change the configuration of the fleet only by release
+// notes.
 package note
--- a/core/note/item.go
+++ b/core/note/item.go
@@ -8,7 +8,7 @@
 	"savoryfall/core/version"
 )
 
-// The kinds of items that a release note lists.
+// The kinds of items in a release note.
 const (
 	KindModels    = "models"
 	KindAdapters  = "adapters"
@@ -18,39 +18,39 @@
 	KindServices  = "services"
 )
 
-// Kinds are all kinds, in the order in which a note is applied.
+// Kinds lists all kinds in the order in which a note is applied.
 var Kinds = []string{KindModels, KindAdapters, KindVersions, KindAccounts, KindServices, KindEndpoints}
 
-// Item is one thing that a release note adds or changes; its values are those of its TOML table.
+// Item is one entry of a release note: an object to add, change or withdraw, with the values of its TOML table.
 type Item struct {
 	kind   string
 	name   string
 	values map[string]any
 }
 
-// Kind is one of Kinds.
+// Kind returns the kind, one of Kinds.
 func (i Item) Kind() string { return i.kind }
 
-// Name is unique within the kind.
+// Name returns the name, which is unique within the kind.
 func (i Item) Name() string { return i.name }
 
-// Key is unique within the configuration.
+// Key returns kind and name, which are unique within the configuration.
 func (i Item) Key() string { return i.kind + "/" + i.name }
 
-// Values are the values of the item's TOML table; they must not be changed.
+// Values returns the values of the item's TOML table. The caller must not modify them.
 func (i Item) Values() map[string]any { return i.values }
 
-// NewItem makes an item of values that were read earlier.
+// NewItem makes an item of values that were parsed earlier.
 func NewItem(kind, name string, values map[string]any) Item {
 	return Item{kind: kind, name: name, values: values}
 }
 
-// Table lets the typed packages read the item.
+// Table returns the values as a table, from which the packages of the kinds parse the item.
 func (i Item) Table() *tomldoc.Table {
 	return tomldoc.FromValues(i.Key(), i.values).Root()
 }
 
-// readItem checks the table by its kind and names the item.
+// readItem parses and validates the table according to its kind.
 func readItem(kind string, t *tomldoc.Table) Item {
 	i := Item{kind: kind, values: t.Values()}
 	switch kind {
--- a/core/note/note.go
+++ b/core/note/note.go
@@ -6,10 +6,10 @@
 	"savoryfall/core/tomldoc"
 )
 
-// MaxBytes bounds a release note, so that one fits a record of the log with room to spare.
+// MaxBytes bounds the size of a release note, so that it fits into a log record with room to spare.
 const MaxBytes = 1 << 20
 
-// Note is one release note: what is added, changed and withdrawn, and the note that its author had read.
+// Note is a release note. It lists the items to add, change and withdraw, and names the note that it is based on.
 type Note struct {
 	id        string
 	basedOn   string
@@ -19,32 +19,33 @@
 	withdrawn []Item
 }
 
-// ID names the note; a note published twice under one id is applied once.
+// ID returns the id of the note. A note that is published twice under the same id is applied once.
 func (n *Note) ID() string { return n.id }
 
-// BasedOn is the id of the newest note in force when this one was written; empty for the first.
+// BasedOn returns the id of the newest note that was in force when this one was written. It is empty for the first
+// note.
 func (n *Note) BasedOn() string { return n.basedOn }
 
-// Text is the TOML that the note was read from.
+// Text returns the TOML source of the note.
 func (n *Note) Text() string { return n.text }
 
-// Added are the items that must not be in force yet.
+// Added returns the items to add. They must not be in force yet.
 func (n *Note) Added() []Item { return n.added }
 
-// Changed are the items that replace one in force.
+// Changed returns the items that replace one in force.
 func (n *Note) Changed() []Item { return n.changed }
 
-// Withdrawn are the items, by kind and name only, that leave.
+// Withdrawn returns the items to remove. They have a kind and a name only.
 func (n *Note) Withdrawn() []Item { return n.withdrawn }
 
-// Touched are all items of the note.
+// Touched returns all items of the note.
 func (n *Note) Touched() []Item {
 	all := append([]Item{}, n.added...)
 	all = append(all, n.changed...)
 	return append(all, n.withdrawn...)
 }
 
-// Parse reads and checks a note; the error is a tomldoc.Faults with every fault.
+// Parse parses and validates a note. The error is a tomldoc.Faults that lists all errors.
 func Parse(file string, data []byte) (n *Note, err error) {
 	if len(data) > MaxBytes {
 		return nil, tomldoc.Faults{{
@@ -56,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n = read(doc.Root())
+	n = readNote(doc.Root())
 	n.text = string(data)
 	err = doc.Err()
 	if err != nil {
@@ -65,7 +66,7 @@
 	return n, nil
 }
 
-func read(t *tomldoc.Table) (n *Note) {
+func readNote(t *tomldoc.Table) (n *Note) {
 	n = &Note{id: t.Required("id"), basedOn: t.Text("basedOn", "")}
 	seen := map[string]string{}
 	n.added = readItems(t.Table("added"), seen)
@@ -82,9 +83,9 @@
 
 func readItems(t *tomldoc.Table, seen map[string]string) (items []Item) {
 	for _, kind := range Kinds {
-		for _, sub := range t.Tables(kind) {
-			i := readItem(kind, sub)
-			once(sub, "name", i, sub.Path(), seen)
+		for _, table := range t.Tables(kind) {
+			i := readItem(kind, table)
+			checkDuplicate(table, "name", i, table.Path(), seen)
 			items = append(items, i)
 		}
 	}
@@ -95,17 +96,17 @@
 	for _, kind := range Kinds {
 		for _, name := range t.Texts(kind) {
 			i := Item{kind: kind, name: name}
-			once(t, kind, i, t.Path()+"."+kind, seen)
+			checkDuplicate(t, kind, i, t.Path()+"."+kind, seen)
 			items = append(items, i)
 		}
 	}
 	return items
 }
 
-func once(t *tomldoc.Table, key string, i Item, place string, seen map[string]string) {
-	if first, twice := seen[i.Key()]; twice {
-		t.Fault(key, i.Key()+" again", "each item once; it stands first at "+first)
+func checkDuplicate(t *tomldoc.Table, key string, i Item, location string, seen map[string]string) {
+	if first, duplicate := seen[i.Key()]; duplicate {
+		t.Fault(key, i.Key()+" a second time", "each item only once; it first appears at "+first)
 		return
 	}
-	seen[i.Key()] = place
+	seen[i.Key()] = location
 }
--- a/core/note/note_test.go
+++ b/core/note/note_test.go
@@ -10,11 +10,11 @@
 	"savoryfall/core/note"
 )
 
-const digest = "sha256:0000000000000000000000000000000000000000000000000000000000000000"
+const keyDigest = "sha256:0000000000000000000000000000000000000000000000000000000000000000"
 
-// Every fault of a bad note is reported, with its line, its key, what was found and what is allowed.
+// All errors in an invalid note are reported, each with its line, its key, what was found and what is allowed.
 func TestBadNotes(t *testing.T) {
-	for _, given := range []struct{ name, text string }{
+	for _, tc := range []struct{ name, text string }{
 		{"empty", ""},
 		{"noItems", "id = \"n\"\n"},
 		{"huge", strings.Repeat("#", 10<<20)},
@@ -26,17 +26,18 @@
 			"[[added.endpoints]]\nname = \"e\"\nkind = \"engin\"\naddress = \"nowhere\"\nmodels = \"m\"\n\n" +
 			"[[added.services]]\nname = \"s\"\npath = \"permits\"\nnotRepeatable = [\"POST\"]\n"},
 	} {
-		t.Run(given.name, func(t *testing.T) {
-			_, err := note.Parse("note.toml", []byte(given.text))
+		t.Run(tc.name, func(t *testing.T) {
+			_, err := note.Parse("note.toml", []byte(tc.text))
 			assert.Assert(t, err != nil)
-			golden.Assert(t, err.Error()+"\n", given.name+".golden")
+			golden.Assert(t, err.Error()+"\n", tc.name+".golden")
 		})
 	}
 }
 
-// FuzzParse feeds foreign bytes; a note that is taken must be taken again from its own text.
+// FuzzParse checks that a note which is accepted for arbitrary input is accepted again when it is parsed from its own
+// text.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte("id = \"n\"\n[[added.accounts]]\nname = \"a\"\nkeyDigest = \"" + digest + "\"\n"))
+	f.Add([]byte("id = \"n\"\n[[added.accounts]]\nname = \"a\"\nkeyDigest = \"" + keyDigest + "\"\n"))
 	f.Add([]byte("id = \"n\"\nadded = {models = [{name = \"m\"}]}\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		n, err := note.Parse("fuzz", data)
