--- a/core/logstory/doc.go
+++ b/core/logstory/doc.go
@@ -1,3 +1,3 @@
-// Package logstory reads the logs of routers, and tells from them what became of one request, and why requests of a
-// day were not served.
+// Package logstory analyses router logs. It explains the outcome of a single request, and reports how many requests
+// were not served and why.
 package logstory
--- a/core/logstory/explain.go
+++ b/core/logstory/explain.go
@@ -7,42 +7,44 @@
 	"savoryfall/core/field"
 )
 
-// endings say who ended a client's connection, by the field ended.
-var endings = map[string]string{
+// endingTexts describe who ended a client's connection, by the value of the field ended.
+var endingTexts = map[string]string{
 	"client":  "The client closed the connection.",
 	"reset":   "The client, or the network on its behalf, reset the connection.",
-	"silence": "Keep-alive probes found nobody at the client's end of the connection.",
+	"silence": "The client did not respond to keep-alive probes on the connection.",
 	"stall":   "The client did not take its answer in time.",
 	"idle":    "This router ended the connection as idle",
-	"header":  "This router ended the connection since a request's header was late",
-	"stop":    "This router ended the connection since it stopped.",
+	"header":  "This router ended the connection because a request header did not arrive in time",
+	"stop":    "This router ended the connection because it was shutting down.",
 }
 
-// limits are the fields of the configuration in force that made the router end a connection.
-var limits = map[string]field.Name{"idle": field.IdleMs, "header": field.HeaderMs}
+// limitFields are the fields of the line configurationInForce with the limit that made the router end a connection.
+var limitFields = map[string]field.Name{"idle": field.IdleMs, "header": field.HeaderMs}
 
-// words tell what the line says of the connection, by what the router believed before it.
-func words(line Line, before []Line) (list []string) {
+// explainEnding explains how the connection of the request ended; before are the lines with the router's view at that
+// time.
+func explainEnding(line Line, before []Line) (list []string) {
 	ended := line.Fields[field.Ended]
 	if ended == "" {
 		return nil
 	}
-	by, known := endings[ended]
+	text, known := endingTexts[ended]
 	if !known {
-		by = "The connection ended: " + ended + "."
+		text = "The connection ended: " + ended + "."
 	}
-	if limit, ours := limits[ended]; ours {
-		by += limitOf(limit, before) + "."
+	if limit, hasLimit := limitFields[ended]; hasLimit {
+		text += limitText(limit, before) + "."
 	}
-	list = []string{by, fmt.Sprintf(
+	list = []string{text, fmt.Sprintf(
 		"Answers on it before: %s. Idle before this request: %s ms. From its first byte to its handler: %s ms.",
 		line.Fields[field.Served], line.Fields[field.IdleMs], line.Fields[field.ReadMs],
 	)}
-	return append(list, wordsOnSends(line, ended)...)
+	return append(list, explainSends(line, ended)...)
 }
 
-// wordsOnStart tell how the process before the one that line i has started ended, when it did so without a word.
-func (l *Log) wordsOnStart(i int) (list []string) {
+// explainStart tells how the previous process on the VM ended, if it did not log that it stopped. Line i is the start
+// of the next one.
+func (l *Log) explainStart(i int) (list []string) {
 	started := l.lines[i]
 	for j := i - 1; j >= 0; j-- {
 		line := l.lines[j]
@@ -52,18 +54,18 @@
 		if line.Event == event.Stopped {
 			return nil
 		}
-		if silent := started.At.Sub(line.At); silent > startWithin {
+		if gap := started.At.Sub(line.At); gap > startupWindow {
 			return []string{fmt.Sprintf(
 				"The process before it wrote its last line %.1f s earlier, and none that it stopped: it was killed, or its VM was lost.",
-				silent.Seconds(),
+				gap.Seconds(),
 			)}
 		}
 	}
 	return nil
 }
 
-// limitOf names the limit in force.
-func limitOf(limit field.Name, before []Line) string {
+// limitText returns the limit that was in force.
+func limitText(limit field.Name, before []Line) string {
 	for i := len(before) - 1; i >= 0; i-- {
 		if line := before[i]; line.Event == event.ConfigurationInForce && line.Fields[limit] != "" {
 			return fmt.Sprintf(" (the limit of version %s is %s ms)", line.Fields[field.Version], line.Fields[limit])
@@ -72,8 +74,8 @@
 	return ""
 }
 
-// wordsOnSends tell what became of the request at its endpoint.
-func wordsOnSends(line Line, ended string) (list []string) {
+// explainSends tells whether an endpoint had received the request.
+func explainSends(line Line, ended string) (list []string) {
 	sends := line.Fields[field.Sends]
 	switch {
 	case sends == "" || sends == "0":
--- a/core/logstory/log.go
+++ b/core/logstory/log.go
@@ -14,36 +14,36 @@
 	"savoryfall/core/field"
 )
 
-// Line is one event of one router.
+// Line is one log line of a router.
 type Line struct {
 	At    time.Time
 	VM    string
 	Event event.Name
-	// Fields are all others, by name.
+	// Fields holds all fields of the line by name.
 	Fields map[field.Name]string
-	// Text is the line as it was written.
+	// Text is the line as logged, starting at its first field.
 	Text string
-	// Words are, in a story, what the line says beyond its fields' names: of the connection that a request came on, and of the
-	// process before one that has started; empty where there is nothing to say.
+	// Words explains the line in sentences. It is set only by Story, for lines that describe the end of a client's
+	// connection, and for the start of a process after another that did not shut down cleanly.
 	Words []string
 }
 
-// Log is the lines of one or more routers, by time; the zero value has none.
+// Log holds the lines of one or more routers, sorted by time. The zero value is empty.
 type Log struct {
 	lines   []Line
 	skipped int
 }
 
-// longestLine bounds a line in bytes; what a router writes is some hundred.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a line; routers write lines of a few hundred bytes.
+const maxLineBytes = 1 << 20
 
-// Read adds the lines of a file. What is not a line of a router is counted and left out.
+// Read adds the lines of a file. Lines that were not written by a router are counted and skipped.
 func (l *Log) Read(r io.Reader) (err error) {
 	defer annotate.Error(&err, "read logs")
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, longestLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		line, ok := parse(s.Text())
+		line, ok := parseLine(s.Text())
 		if !ok {
 			l.skipped++
 			continue
@@ -54,14 +54,14 @@
 	return s.Err()
 }
 
-// Len is how many lines there are, Skipped how many were not of a router.
+// Len returns the number of lines.
 func (l *Log) Len() int { return len(l.lines) }
 
-// Skipped is how many lines were left out.
+// Skipped returns the number of skipped lines.
 func (l *Log) Skipped() int { return l.skipped }
 
-// parse reads a line from its first field on; what a collector has put before it is left out.
-func parse(text string) (line Line, ok bool) {
+// parseLine parses a line from its first field on. Anything that a log collector put before it is ignored.
+func parseLine(text string) (line Line, ok bool) {
 	start := strings.Index(text, "ts=")
 	if start < 0 {
 		return line, false
@@ -80,43 +80,44 @@
 	return line, true
 }
 
-// beliefs are the events that change what a router believes of the fleet as a whole.
-var beliefs = map[event.Name]bool{
+// stateEvents are the events that change a router's view of the fleet as a whole.
+var stateEvents = map[event.Name]bool{
 	event.ConfigurationInForce: true, event.StoreLost: true, event.StoreRegained: true, event.HubFollowed: true,
 	event.HubLost: true, event.Started: true, event.Stopping: true,
 }
 
-// Story is what the logs tell of the request: its own lines, and before each what the router had last come to believe of
-// the store, the hub, the configuration, and the endpoints that the request went to.
+// Story returns the lines of the request. Each is preceded by the newest earlier lines that show the router's view of
+// the store, the hub, the configuration and the endpoints that were chosen for the request.
 func (l *Log) Story(request string) (lines []Line) {
 	for i, line := range l.lines {
 		if line.Fields[field.Request] != request {
 			continue
 		}
-		before := l.background(i)
-		line.Words = words(line, before)
+		before := l.precedingState(i)
+		line.Words = explainEnding(line, before)
 		lines = append(lines, before...)
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-// startWithin is how long before its line that it has started a process may have written others.
-const startWithin = time.Second
+// startupWindow is how long before its line that it has started a process may have written other lines.
+const startupWindow = time.Second
 
-// background are the latest lines of each kind, of the process of line i, before it. What the process before on the same VM
-// believed is gone with it, and would make this one look as if it had known it.
-func (l *Log) background(i int) (lines []Line) {
-	of := l.lines[i]
+// precedingState returns the newest line of each kind that the process of line i wrote before it. It stops at the start
+// of that process: what an earlier process on the same VM knew was lost with it, and would make it look as if this
+// process had known it.
+func (l *Log) precedingState(i int) (lines []Line) {
+	current := l.lines[i]
 	chosen := map[string]bool{}
-	for _, id := range strings.Split(of.Fields[field.Endpoints], ",") {
+	for _, id := range strings.Split(current.Fields[field.Endpoints], ",") {
 		chosen[id] = id != ""
 	}
 	seen := map[string]bool{}
-	var since time.Time
+	var notBefore time.Time
 	for j := i - 1; j >= 0; j-- {
 		line := l.lines[j]
-		if line.VM == of.VM && (line.At.Before(since) || line.Event == event.Stopped) {
+		if line.VM == current.VM && (line.At.Before(notBefore) || line.Event == event.Stopped) {
 			break
 		}
 		kind := string(line.Event) + line.Fields[field.Topic]
@@ -124,13 +125,13 @@
 		if id != "" {
 			kind = id
 		}
-		if line.VM != of.VM || seen[kind] || !beliefs[line.Event] && !chosen[id] {
+		if line.VM != current.VM || seen[kind] || !stateEvents[line.Event] && !chosen[id] {
 			continue
 		}
 		seen[kind] = true
 		if line.Event == event.Started {
-			since = line.At.Add(-startWithin)
-			line.Words = l.wordsOnStart(j)
+			notBefore = line.At.Add(-startupWindow)
+			line.Words = l.explainStart(j)
 		}
 		lines = append([]Line{line}, lines...)
 	}
--- a/core/logstory/report.go
+++ b/core/logstory/report.go
@@ -8,43 +8,43 @@
 	"savoryfall/core/field"
 )
 
-// Cause is why requests were not served: the reason of a refusal, or "endpoint" for an endpoint's own failure.
+// Cause is why a request was not served: the reason of a refusal, or "endpoint" if an endpoint responded with an error.
 type Cause string
 
-// byEndpoint is the cause of a failure that an endpoint answered.
-const byEndpoint Cause = "endpoint"
+// causeEndpoint is the cause of a failure that an endpoint responded with.
+const causeEndpoint Cause = "endpoint"
 
-// Bucket is the requests that were not served in one span of time, by cause.
+// Bucket counts the requests that were not served in one interval, by cause.
 type Bucket struct {
 	From  time.Time
 	Count map[Cause]int
 }
 
-// Report counts the requests that were not served, in spans of the given length, and names the causes, the most frequent
-// first.
-func (l *Log) Report(span time.Duration) (buckets []Bucket, causes []Cause) {
-	total := map[Cause]int{}
+// Report counts the requests that were not served in intervals of the given length. It also returns the causes, the
+// most frequent first.
+func (l *Log) Report(interval time.Duration) (buckets []Bucket, causes []Cause) {
+	totals := map[Cause]int{}
 	for _, line := range l.lines {
 		cause, ok := causeOf(line)
 		if !ok {
 			continue
 		}
-		from := line.At.Truncate(span)
+		from := line.At.Truncate(interval)
 		for len(buckets) > 0 && buckets[len(buckets)-1].From.Before(from) {
-			buckets = append(buckets, Bucket{From: buckets[len(buckets)-1].From.Add(span), Count: map[Cause]int{}})
+			buckets = append(buckets, Bucket{From: buckets[len(buckets)-1].From.Add(interval), Count: map[Cause]int{}})
 		}
 		if len(buckets) == 0 {
 			buckets = []Bucket{{From: from, Count: map[Cause]int{}}}
 		}
 		buckets[len(buckets)-1].Count[cause]++
-		total[cause]++
+		totals[cause]++
 	}
-	for cause := range total {
+	for cause := range totals {
 		causes = append(causes, cause)
 	}
 	sort.Slice(causes, func(i, j int) bool {
-		if total[causes[i]] != total[causes[j]] {
-			return total[causes[i]] > total[causes[j]]
+		if totals[causes[i]] != totals[causes[j]] {
+			return totals[causes[i]] > totals[causes[j]]
 		}
 		return causes[i] < causes[j]
 	})
@@ -56,7 +56,7 @@
 	case event.RequestRefused:
 		return Cause(line.Fields[field.Reason]), true
 	case event.RequestFailed:
-		return byEndpoint, true
+		return causeEndpoint, true
 	}
 	return "", false
 }
