--- a/core/eventsplit/splitter.go
+++ b/core/eventsplit/splitter.go
@@ -5,36 +5,36 @@
 	"strconv"
 )
 
-// Splitter collects the bytes of a stream until events are whole. A client that got half an event could not be told
-// apart from one that got it all, and a stream that goes on elsewhere would repeat the first half. The zero value has
-// no bytes.
+// Splitter buffers the bytes of a stream until events are complete, so that a router forwards only complete events.
+// After a partial event it could not tell whether the client has received the event, and a stream that is resumed at
+// another endpoint would repeat its beginning. The zero value is an empty buffer.
 type Splitter struct {
 	buf []byte
 }
 
-// MaxEvent bounds the bytes of one event; an endpoint that never ends one would otherwise fill the memory. Events of
-// generations are some hundred bytes.
+// MaxEvent bounds the size of one event in bytes. Without it an event that never ends would exhaust the memory. Events
+// of generations are a few hundred bytes.
 const MaxEvent = 1 << 20
 
-// Event is the bytes of one event with the blank line that ends it, and its id.
+// Event is one event: its bytes, including the blank line that ends it, and its id.
 type Event struct {
 	Bytes []byte
 	ID    int64
-	// HasID tells that the event has an id that is a whole number.
+	// HasID reports whether the event has an id that is an integer.
 	HasID bool
 }
 
-// Write takes bytes as they arrived and returns the events that they complete, or ok false when one grows too large.
-// The bytes of the events are valid until the next call.
+// Write appends the next bytes of the stream and returns the events that are now complete. It returns ok false if an
+// event exceeds MaxEvent. The bytes of the events are valid until the next call.
 func (s *Splitter) Write(p []byte) (events []Event, ok bool) {
 	s.buf = append(s.buf, p...)
 	rest := s.buf
 	for {
-		n := end(rest)
+		n := eventLength(rest)
 		if n < 0 {
 			break
 		}
-		events = append(events, parse(rest[:n]))
+		events = append(events, parseEvent(rest[:n]))
 		rest = rest[n:]
 	}
 	if len(events) == 0 {
@@ -44,22 +44,22 @@
 	return events, len(s.buf) <= MaxEvent
 }
 
-// Partial tells whether bytes of an event that is not whole are left.
+// Partial reports whether the buffer holds part of an incomplete event.
 func (s *Splitter) Partial() bool { return len(s.buf) > 0 }
 
-// end is the length of the first event including its blank line, or -1.
-func end(p []byte) int {
+// eventLength returns the length of the first event including its blank line, or -1 if the event is incomplete.
+func eventLength(p []byte) int {
 	n := -1
-	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
-		i := bytes.Index(p, mark)
-		if i >= 0 && (n < 0 || i+len(mark) < n) {
-			n = i + len(mark)
+	for _, separator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
+		i := bytes.Index(p, separator)
+		if i >= 0 && (n < 0 || i+len(separator) < n) {
+			n = i + len(separator)
 		}
 	}
 	return n
 }
 
-func parse(p []byte) (e Event) {
+func parseEvent(p []byte) (e Event) {
 	e.Bytes = p
 	for line := range bytes.Lines(p) {
 		value, isID := bytes.CutPrefix(line, []byte("id:"))
--- a/core/eventsplit/splitter_test.go
+++ b/core/eventsplit/splitter_test.go
@@ -9,12 +9,12 @@
 	"savoryfall/core/eventsplit"
 )
 
-func split(t *testing.T, pieces ...string) (events []string, ids []int64, partial bool) {
+func splitAll(t *testing.T, pieces ...string) (events []string, ids []int64, partial bool) {
 	var s eventsplit.Splitter
 	for _, p := range pieces {
-		es, ok := s.Write([]byte(p))
+		written, ok := s.Write([]byte(p))
 		assert.Assert(t, ok)
-		for _, e := range es {
+		for _, e := range written {
 			events = append(events, string(e.Bytes))
 			if e.HasID {
 				ids = append(ids, e.ID)
@@ -25,14 +25,14 @@
 }
 
 func TestWholeEvents(t *testing.T) {
-	events, ids, partial := split(t, "id: 1\ndata: a\n", "\nid: 2\nda", "ta: b\n\nid:3\r\ndata: c\r\n\r\nid: 4\n")
+	events, ids, partial := splitAll(t, "id: 1\ndata: a\n", "\nid: 2\nda", "ta: b\n\nid:3\r\ndata: c\r\n\r\nid: 4\n")
 	assert.DeepEqual(t, events, []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id:3\r\ndata: c\r\n\r\n"})
 	assert.DeepEqual(t, ids, []int64{1, 2, 3})
 	assert.Assert(t, partial)
 }
 
 func TestIDsThatAreNone(t *testing.T) {
-	_, ids, _ := split(t, "data: id: 5\n\nid: x\n\nid:\n\n: id: 7\n\n")
+	_, ids, _ := splitAll(t, "data: id: 5\n\nid: x\n\nid:\n\n: id: 7\n\n")
 	assert.Equal(t, len(ids), 0)
 }
 
@@ -45,7 +45,7 @@
 	assert.Assert(t, !ok)
 }
 
-// However the bytes are cut, the same events come out, and nothing is lost or added.
+// The events do not depend on how the stream is cut into writes, and no bytes are lost or added.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), 3)
 	f.Add([]byte("\n\n\r\n\r\n\n"), 1)
