--- a/core/orders/plan.go
+++ b/core/orders/plan.go
@@ -5,46 +5,49 @@
 	"strings"
 )
 
-// Engine is one engine as it was reported.
+// Engine is the reported state of an engine: the models it may serve and the versions it has loaded.
 type Engine struct {
 	Name   string
 	Models []string
 	Loaded []string
 }
 
-// Wanted is one version or adapter that shall be held, by how many engines; zero means all that may serve the model.
+// Wanted is a version or adapter that Replicas engines should have loaded; zero means all engines that may serve the
+// model.
 type Wanted struct {
 	Model    string
 	Name     string
 	Replicas int
 }
 
-// ID is how an engine names the version.
+// ID returns the identifier that engines use for the version.
 func (w Wanted) ID() string { return w.Model + "@" + w.Name }
 
-// Order says what an engine shall hold, as a whole; the same order twice, or late, is undone by the next comparison.
+// Order is the complete list of versions that an engine should have loaded. An order that is delivered twice or late
+// does no lasting harm, because the next comparison corrects its effect.
 type Order struct {
 	Engine string
 	Loaded []string
-	// Loads is how many of them are fetched from the weight store for this order.
+	// Loads is the number of versions that the engine must fetch from the weight store for this order.
 	Loads int
 }
 
-// Plan compares and returns the orders to give now, the most wanted first: loads of versions that fewest engines
-// hold, at most loads of them, and drops of what nobody wants any more. An old version stays on an engine until
-// enough engines hold the new ones of its model, so that a rollout never leaves a model without warm replicas.
+// Plan returns the orders to give now. Versions are loaded in the order of their current replicas, fewest first, with
+// at most loads loads in total; versions that are no longer wanted are unloaded. An old version is kept on an engine
+// until enough engines have loaded the new versions of its model, so that a model has loaded replicas throughout a
+// rollout.
 func Plan(wanted []Wanted, engines []Engine, loads int) (orders []Order) {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return strings.Compare(a.Name, b.Name) })
-	p := planner{wanted: wanted, engines: engines, ready: map[string]int{}}
+	p := planner{wanted: wanted, engines: engines, replicas: map[string]int{}}
 	for _, e := range engines {
 		for _, id := range e.Loaded {
-			p.ready[id]++
+			p.replicas[id]++
 		}
 	}
-	adds := p.adds(loads)
+	newLoads := p.newLoads(loads)
 	for _, e := range engines {
-		if o, changed := p.order(e, adds[e.Name]); changed {
+		if o, changed := p.orderFor(e, newLoads[e.Name]); changed {
 			orders = append(orders, o)
 		}
 	}
@@ -52,34 +55,35 @@
 }
 
 type planner struct {
-	wanted  []Wanted
-	engines []Engine
-	ready   map[string]int
+	wanted   []Wanted
+	engines  []Engine
+	replicas map[string]int
 }
 
-// adds picks the loads that the weight store bears now.
-func (p *planner) adds(loads int) (adds map[string][]string) {
-	adds = map[string][]string{}
+// newLoads selects the versions to load now, by engine: at most one per engine, and within the number of loads that the
+// weight store can serve.
+func (p *planner) newLoads(loads int) (newLoads map[string][]string) {
+	newLoads = map[string][]string{}
 	wanted := slices.Clone(p.wanted)
-	slices.SortStableFunc(wanted, func(a, b Wanted) int { return p.ready[a.ID()] - p.ready[b.ID()] })
+	slices.SortStableFunc(wanted, func(a, b Wanted) int { return p.replicas[a.ID()] - p.replicas[b.ID()] })
 	for _, w := range wanted {
-		missing := p.target(w) - p.ready[w.ID()]
+		missing := p.targetReplicas(w) - p.replicas[w.ID()]
 		for _, e := range p.engines {
 			if missing <= 0 || loads <= 0 {
 				break
 			}
-			if !slices.Contains(e.Models, w.Model) || slices.Contains(e.Loaded, w.ID()) || len(adds[e.Name]) > 0 {
+			if !slices.Contains(e.Models, w.Model) || slices.Contains(e.Loaded, w.ID()) || len(newLoads[e.Name]) > 0 {
 				continue
 			}
-			adds[e.Name] = append(adds[e.Name], w.ID())
+			newLoads[e.Name] = append(newLoads[e.Name], w.ID())
 			missing--
 			loads--
 		}
 	}
-	return adds
+	return newLoads
 }
 
-func (p *planner) target(w Wanted) (n int) {
+func (p *planner) targetReplicas(w Wanted) (n int) {
 	for _, e := range p.engines {
 		if slices.Contains(e.Models, w.Model) {
 			n++
@@ -91,22 +95,23 @@
 	return n
 }
 
-func (p *planner) order(e Engine, adds []string) (o Order, changed bool) {
+func (p *planner) orderFor(e Engine, adds []string) (o Order, changed bool) {
 	o.Engine = e.Name
 	for _, id := range e.Loaded {
-		if p.stays(id) {
+		if p.keep(id) {
 			o.Loaded = append(o.Loaded, id)
 		}
 	}
 	o.Loaded = append(o.Loaded, adds...)
 	o.Loads = len(adds)
 	slices.Sort(o.Loaded)
-	before := slices.Sorted(slices.Values(e.Loaded))
-	return o, !slices.Equal(before, o.Loaded)
+	loaded := slices.Sorted(slices.Values(e.Loaded))
+	return o, !slices.Equal(loaded, o.Loaded)
 }
 
-// stays keeps what is wanted, what no release note speaks of, and old versions whose successors are not ready.
-func (p *planner) stays(id string) bool {
+// keep reports whether an engine should keep a version: one that is wanted, one whose model no release note mentions,
+// or one whose replacements are not fully loaded.
+func (p *planner) keep(id string) bool {
 	model, _, versioned := strings.Cut(id, "@")
 	if !versioned {
 		return !p.replaced(model)
@@ -119,7 +124,7 @@
 	return !p.replaced(model)
 }
 
-// replaced tells whether every wanted version of the model has all its replicas.
+// replaced reports whether every wanted version of the model has all its replicas. It is false if no version is wanted.
 func (p *planner) replaced(model string) bool {
 	any := false
 	for _, w := range p.wanted {
@@ -127,7 +132,7 @@
 			continue
 		}
 		any = true
-		if p.ready[w.ID()] < p.target(w) {
+		if p.replicas[w.ID()] < p.targetReplicas(w) {
 			return false
 		}
 	}
--- a/core/orders/plan_test.go
+++ b/core/orders/plan_test.go
@@ -17,9 +17,9 @@
 	return list
 }
 
-// obey lets the engines hold what they were ordered to.
-func obey(list []orders.Engine, given []orders.Order) {
-	for _, o := range given {
+// applyOrders sets the loaded versions of the engines to those in the orders.
+func applyOrders(list []orders.Engine, planned []orders.Order) {
+	for _, o := range planned {
 		for i := range list {
 			if list[i].Name == o.Engine {
 				list[i].Loaded = o.Loaded
@@ -28,7 +28,7 @@
 	}
 }
 
-func count(list []orders.Engine, id string) (n int) {
+func countLoaded(list []orders.Engine, id string) (n int) {
 	for _, e := range list {
 		if slices.Contains(e.Loaded, id) {
 			n++
@@ -37,40 +37,41 @@
 	return n
 }
 
-// A rollout of v2 over four engines with two loads a round: v1 stays on all until v2 is on all, then goes.
+// During a rollout of v2 to four engines with two loads per round, v1 stays loaded on all engines until v2 is, and is
+// then unloaded.
 func TestRolloutKeepsTheOldVersionWarm(t *testing.T) {
 	list := engines(4, "m@v1")
 	wanted := []orders.Wanted{{Model: "m", Name: "v2"}}
 	for _, want := range [][2]int{{4, 2}, {4, 4}, {0, 4}} {
-		given := orders.Plan(wanted, list, 2)
+		planned := orders.Plan(wanted, list, 2)
 		loads := 0
-		for _, o := range given {
+		for _, o := range planned {
 			loads += o.Loads
 		}
 		assert.Assert(t, loads <= 2)
-		obey(list, given)
-		assert.Equal(t, [2]int{count(list, "m@v1"), count(list, "m@v2")}, want)
+		applyOrders(list, planned)
+		assert.Equal(t, [2]int{countLoaded(list, "m@v1"), countLoaded(list, "m@v2")}, want)
 	}
 	assert.Equal(t, len(orders.Plan(wanted, list, 2)), 0)
 }
 
-// With one load to spend, the version that fewest engines hold comes first.
+// With a single load available, the version with the fewest replicas is loaded first.
 func TestMostWantedFirst(t *testing.T) {
 	list := engines(3, "m@a")
 	list[0].Loaded = []string{"m@a", "m@b"}
-	given := orders.Plan([]orders.Wanted{{Model: "m", Name: "a"}, {Model: "m", Name: "b"}, {Model: "m", Name: "c"}}, list, 1)
-	assert.Equal(t, len(given), 1)
-	assert.Assert(t, slices.Contains(given[0].Loaded, "m@c"))
+	planned := orders.Plan([]orders.Wanted{{Model: "m", Name: "a"}, {Model: "m", Name: "b"}, {Model: "m", Name: "c"}}, list, 1)
+	assert.Equal(t, len(planned), 1)
+	assert.Assert(t, slices.Contains(planned[0].Loaded, "m@c"))
 }
 
-// An order that arrives late, and undoes a newer one, is itself undone by the next comparison.
+// If an outdated order arrives late and reverts a newer one, the next comparisons restore the wanted state.
 func TestLateOrderIsUndone(t *testing.T) {
 	list := engines(2, "m@v2")
 	list[0].Loaded = []string{"m@v1"}
 	wanted := []orders.Wanted{{Model: "m", Name: "v2"}}
 	for range 2 {
-		obey(list, orders.Plan(wanted, list, 2))
+		applyOrders(list, orders.Plan(wanted, list, 2))
 	}
-	assert.Equal(t, count(list, "m@v2"), 2)
-	assert.Equal(t, count(list, "m@v1"), 0)
+	assert.Equal(t, countLoaded(list, "m@v2"), 2)
+	assert.Equal(t, countLoaded(list, "m@v1"), 0)
 }
