--- a/core/loadplan/doc.go
+++ b/core/loadplan/doc.go
@@ -1,2 +1,2 @@
-// Package loadplan reads the plan of a load experiment.
+// Package loadplan parses the plan of a load test.
 package loadplan
--- a/core/loadplan/plan.go
+++ b/core/loadplan/plan.go
@@ -6,12 +6,12 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Plan says what fleet is driven, by which callers, through which disturbances. Exported fields, because it is only
-// read, and only by the load tool.
+// Plan describes a load test: the fleet, the traffic and the faults to inject. Its fields are exported because only the
+// load tool uses it, and only for reading.
 type Plan struct {
 	Seed     uint64
 	Duration time.Duration
-	// Bound is the setting routing.bound of the operator whose plan it is.
+	// Bound is the value of the setting routing.bound for this test.
 	Bound    float64
 	Warmup   time.Duration
 	Fleet    Fleet
@@ -23,7 +23,7 @@
 	Outages  []Outage
 }
 
-// Fleet is how many of each there are.
+// Fleet holds the numbers of processes and the failure domains that they are spread over.
 type Fleet struct {
 	Routers        int
 	Engines        int
@@ -31,7 +31,7 @@
 	FailureDomains []string
 }
 
-// Engine shapes the stand-in engines.
+// Engine configures the simulated engines.
 type Engine struct {
 	Step          time.Duration
 	TokensPerStep int
@@ -41,13 +41,13 @@
 	ReportLag     time.Duration
 }
 
-// Accounts are of Zipf size.
+// Accounts configures the client accounts, whose request rates follow a Zipf distribution.
 type Accounts struct {
 	Count int
 	Zipf  float64
 }
 
-// Chats are how callers behave; nothing of it is told to the fleet.
+// Chats configures the traffic. The routers are not told any of it.
 type Chats struct {
 	RequestsPerSecond float64
 	CallsPerSecond    float64
@@ -62,7 +62,7 @@
 	TicketShare       float64
 }
 
-// Surge multiplies the requests of the account of that rank for a while.
+// Surge multiplies the request rate of an account for some time. Account is its rank by request rate, starting at 1.
 type Surge struct {
 	Account int
 	At      time.Duration
@@ -70,29 +70,29 @@
 	Times   float64
 }
 
-// The actions of a churn.
+// The actions of Churn.
 const (
 	ActionKill  = "kill"
 	ActionLeave = "leave"
 	ActionStart = "start"
 )
 
-// Churn is what happens to an engine.
+// Churn kills, stops or starts an engine at a given time.
 type Churn struct {
 	At     time.Duration
 	Engine int
 	Action string
 }
 
-// Outage is a time in which the log is down.
+// Outage is an interval in which the log service is unavailable.
 type Outage struct {
 	At  time.Duration
 	For time.Duration
 }
 
-const longest = 10 * time.Minute
+const maxDuration = 10 * time.Minute
 
-// Parse reads a plan; the error is a tomldoc.Faults with every fault.
+// Parse parses and validates a plan. The error is a tomldoc.Faults that lists all errors.
 func Parse(file string, data []byte) (p *Plan, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
@@ -101,15 +101,15 @@
 	t := doc.Root()
 	p = &Plan{
 		Seed:     uint64(t.Number("seed", 1, 1, 1<<40)),
-		Duration: t.Duration("duration", 30*time.Second, time.Second, longest),
+		Duration: t.Duration("duration", 30*time.Second, time.Second, maxDuration),
 		Bound:    t.Real("bound", 1.3, 1.01, 100),
-		Warmup:   t.Duration("warmup", 5*time.Second, 0, longest),
+		Warmup:   t.Duration("warmup", 5*time.Second, 0, maxDuration),
 	}
 	p.readFleet(t.Table("fleet"))
 	p.readEngine(t.Table("engine"))
 	p.readAccounts(t.Table("accounts"))
 	p.readChats(t.Table("chats"))
-	p.readDisturbances(t)
+	p.readFaults(t)
 	return p, doc.Err()
 }
 
@@ -144,7 +144,7 @@
 	p.Chats = Chats{
 		RequestsPerSecond: t.Real("requestsPerSecond", 100, 0.1, 100000),
 		CallsPerSecond:    t.Real("callsPerSecond", 0, 0, 100000),
-		Pause:             t.Duration("pause", 4*time.Second, time.Millisecond, longest),
+		Pause:             t.Duration("pause", 4*time.Second, time.Millisecond, maxDuration),
 		Turns:             int(t.Number("turns", 6, 1, 1000)),
 		SystemTokens:      int(t.Number("systemTokens", 200, 1, 1<<20)),
 		OpeningTokens:     int(t.Number("openingTokens", 300, 1, 1<<20)),
@@ -156,22 +156,22 @@
 	}
 }
 
-func (p *Plan) readDisturbances(t *tomldoc.Table) {
+func (p *Plan) readFaults(t *tomldoc.Table) {
 	for _, s := range t.Tables("surges") {
 		p.Surges = append(p.Surges, Surge{
-			Account: int(s.Number("account", 1, 1, 100000)), At: s.Duration("at", 0, 0, longest),
-			For: s.Duration("for", 5*time.Second, 0, longest), Times: s.Real("times", 20, 1, 1000),
+			Account: int(s.Number("account", 1, 1, 100000)), At: s.Duration("at", 0, 0, maxDuration),
+			For: s.Duration("for", 5*time.Second, 0, maxDuration), Times: s.Real("times", 20, 1, 1000),
 		})
 	}
 	for _, c := range t.Tables("churn") {
 		p.Churn = append(p.Churn, Churn{
-			At: c.Duration("at", 0, 0, longest), Engine: int(c.Number("engine", 1, 1, 1000)),
+			At: c.Duration("at", 0, 0, maxDuration), Engine: int(c.Number("engine", 1, 1, 1000)),
 			Action: c.Choice("action", ActionKill, ActionKill, ActionLeave, ActionStart),
 		})
 	}
 	for _, o := range t.Tables("outages") {
 		p.Outages = append(p.Outages, Outage{
-			At: o.Duration("at", 0, 0, longest), For: o.Duration("for", time.Second, 0, longest),
+			At: o.Duration("at", 0, 0, maxDuration), For: o.Duration("for", time.Second, 0, maxDuration),
 		})
 	}
 }
