--- a/core/decision/doc.go
+++ b/core/decision/doc.go
@@ -1,2 +1,2 @@
-// Package decision keeps the reasons of the latest decisions, for people who ask why.
+// Package decision records the newest routing decisions and the reasons for them, for the explain command.
 package decision
--- a/core/decision/ring.go
+++ b/core/decision/ring.go
@@ -7,17 +7,17 @@
 	"savoryfall/core/outcome"
 )
 
-// Ring keeps the latest decisions up to a bound; the zero value keeps DefaultSize.
+// Ring keeps the newest DefaultSize decisions. The zero value is ready to use.
 type Ring struct {
-	mu    sync.Mutex
-	by    map[string]*Decision
-	order []string
+	mu        sync.Mutex
+	byRequest map[string]*Decision
+	order     []string
 }
 
-// DefaultSize is how many decisions are kept.
+// DefaultSize is the number of decisions that a Ring keeps.
 const DefaultSize = 4096
 
-// Decision is one request, where it went and why, and what its caller was told.
+// Decision records where a request was sent and why, and the result that its caller received.
 type Decision struct {
 	Request  string          `json:"request"`
 	At       time.Time       `json:"at"`
@@ -31,7 +31,7 @@
 	Problem  string          `json:"problem,omitempty"`
 }
 
-// Attempt is one try at one endpoint.
+// Attempt is one attempt of a request at an endpoint.
 type Attempt struct {
 	ID         string          `json:"id"`
 	Endpoint   string          `json:"endpoint"`
@@ -44,29 +44,29 @@
 	Ms         int64           `json:"ms"`
 	Outcome    outcome.Outcome `json:"outcome"`
 	Problem    string          `json:"problem,omitempty"`
-	// Unreached tells that no connection was made, so that the attempt put no load on anybody.
+	// Unreached is set if no connection was established, so that the attempt caused no load on the endpoint.
 	Unreached bool `json:"unreached,omitempty"`
 }
 
-// Add keeps a decision and forgets the oldest when there are too many.
+// Add records a decision and discards the oldest one if there are too many.
 func (r *Ring) Add(d *Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.by == nil {
-		r.by = map[string]*Decision{}
+	if r.byRequest == nil {
+		r.byRequest = map[string]*Decision{}
 	}
-	r.by[d.Request] = d
+	r.byRequest[d.Request] = d
 	r.order = append(r.order, d.Request)
 	if len(r.order) > DefaultSize {
-		delete(r.by, r.order[0])
+		delete(r.byRequest, r.order[0])
 		r.order = r.order[1:]
 	}
 }
 
-// Find returns the decision on the request of that id.
+// Find returns the decision on the request with the given id.
 func (r *Ring) Find(request string) (d *Decision, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d, ok = r.by[request]
+	d, ok = r.byRequest[request]
 	return d, ok
 }
