--- a/core/event/doc.go
+++ b/core/event/doc.go
@@ -1,2 +1,2 @@
-// Package event names what a router logs.
+// Package event defines the names of the events that routers log.
 package event
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -1,9 +1,9 @@
 package event
 
-// Name is what happened, in the field event of a log line; docs/OPERATIONS.md explains each with its fields.
+// Name is the value of the field event of a log line. docs/OPERATIONS.md describes each event and its fields.
 type Name string
 
-// The events of a router on the platform's store.
+// The events of a router that takes its state from the platform's store.
 const (
 	AcceptFailed            Name = "acceptFailed"
 	ConfigurationInForce    Name = "configurationInForce"
