--- a/core/field/doc.go
+++ b/core/field/doc.go
@@ -1,2 +1,2 @@
-// Package field names the fields of a router's log lines.
+// Package field defines the names of the fields of router log lines.
 package field
--- a/core/field/field.go
+++ b/core/field/field.go
@@ -1,135 +1,135 @@
 package field
 
-// Name is the key of a field; docs/OPERATIONS.md explains each.
+// Name is the key of a field. docs/OPERATIONS.md describes each field.
 type Name string
 
-// The fields of every line.
+// Fields of every line.
 const (
-	// Time is when the line was written, in UTC.
+	// Time is the time of the line, in UTC.
 	Time Name = "ts"
 	// VM is the name of the router's VM.
 	VM Name = "vm"
-	// Event is what happened, an event.Name.
+	// Event is the event, an event.Name.
 	Event Name = "event"
 )
 
-// The fields of a request.
+// Fields of a request.
 const (
 	// Request is the id of the client's attempt.
 	Request Name = "request"
-	// Route is the name of the route, empty when none fits.
+	// Route is the name of the route; empty if none matches.
 	Route Name = "route"
-	// Status is what the client was told, 0 when it got no whole answer.
+	// Status is the HTTP status of the response; 0 if the client did not receive a complete one.
 	Status Name = "status"
-	// Reason is why it was not served, an ask.Reason.
+	// Reason is why the request was not served, an ask.Reason.
 	Reason Name = "reason"
-	// Outcome is whether it may have run, an outcome.Outcome.
+	// Outcome tells whether the request may have run, an outcome.Outcome.
 	Outcome Name = "outcome"
-	// By is who failed it, when that is not this router.
+	// By is what failed the request, if it was not this router.
 	By Name = "by"
-	// BackMs is when the client was asked to come back.
+	// BackMs is the delay after which the client was asked to retry.
 	BackMs Name = "backMs"
-	// Sends is how many endpoints got it.
+	// Sends is the number of endpoints that the request was sent to.
 	Sends Name = "sends"
-	// Endpoints are those that were chosen, the last one last.
+	// Endpoints lists the endpoints that were chosen, in order.
 	Endpoints Name = "endpoints"
-	// Version is that of the configuration that it was judged by, or that is in force.
+	// Version is the version of the configuration that was applied to the request, or that is in force.
 	Version Name = "version"
-	// ReadAgeMs is how long ago the newest read of the configuration was sent.
+	// ReadAgeMs is the time since the newest read of the configuration was sent.
 	ReadAgeMs Name = "readAgeMs"
-	// Ms is how long it was here.
+	// Ms is the time that the request spent in this router.
 	Ms Name = "ms"
 )
 
-// The fields of a refusal for want of a place.
+// Fields of a refusal for lack of capacity.
 const (
 	// Service is the endpoint service.
 	Service Name = "service"
-	// Rank is how urgent the request was among those to the service, 0 first.
+	// Rank is the rank of the request's priority among requests to the service; 0 is the most urgent.
 	Rank Name = "rank"
 	// Account is the client account.
 	Account Name = "account"
-	// Taken is how many places were believed taken.
+	// Taken is the estimated number of slots and queue positions in use.
 	Taken Name = "taken"
-	// Places is how many there are.
+	// Places is the number of slots and queue positions.
 	Places Name = "places"
-	// LoadsAgeMs is how old the other routers' loads were.
+	// LoadsAgeMs is the age of the load data of the other routers.
 	LoadsAgeMs Name = "loadsAgeMs"
 )
 
-// The fields of a client's connection that has ended.
+// Fields of a client connection that has ended.
 const (
-	// Ended is by whom, a clientconn.Ending.
+	// Ended is who ended the connection, a clientconn.Ending.
 	Ended Name = "ended"
-	// Served is how many answers it had carried before.
+	// Served is the number of responses that it had carried before.
 	Served Name = "served"
-	// IdleMs is how long it had been idle before the request; of a configuration, how long it may be.
+	// IdleMs is how long it was idle before the request; in a configuration, the limit on that.
 	IdleMs Name = "idleMs"
-	// ReadMs is the time from the request's first byte to its handler.
+	// ReadMs is the time from the first byte of the request to its handler.
 	ReadMs Name = "readMs"
 )
 
-// The fields of what the router reads at the store.
+// Fields of reads from the store.
 const (
-	// Topic is what is read: the configuration or the registry.
+	// Topic is the data that is read: the configuration or the registry.
 	Topic Name = "topic"
-	// Offset is the place of a record, or the next one to read.
+	// Offset is the offset of a record, or of the next one to read.
 	Offset Name = "offset"
-	// Want is the offset that was to be read next.
+	// Want is the offset that was expected next.
 	Want Name = "want"
-	// First is the first offset that the store still has.
+	// First is the first offset that the store still keeps.
 	First Name = "first"
-	// Failures is how many reads had failed.
+	// Failures is the number of failed reads.
 	Failures Name = "failures"
-	// AfterMs is how long the store had been lost.
+	// AfterMs is how long the store was unavailable.
 	AfterMs Name = "afterMs"
 	// From is the version that was in force before.
 	From Name = "from"
-	// Routes is how many routes the configuration has.
+	// Routes is the number of routes in the configuration.
 	Routes Name = "routes"
-	// HeaderMs is how long a request's header may take.
+	// HeaderMs is the limit on the time to read the header of a request.
 	HeaderMs Name = "headerMs"
 	// Endpoint is the id of an endpoint.
 	Endpoint Name = "endpoint"
-	// Address is that of an endpoint, or of a listener.
+	// Address is the address of an endpoint or of a listener.
 	Address Name = "address"
-	// Domain is a failure domain.
+	// Domain is the name of a failure domain.
 	Domain Name = "domain"
-	// Listed is how many endpoints of it are known.
+	// Listed is the number of known endpoints in the failure domain.
 	Listed Name = "listed"
-	// Born is when the endpoint's process started, as its entry says.
+	// Born is the start time of the endpoint's process, from its registry entry.
 	Born Name = "born"
 )
 
-// The fields of the other routers.
+// Fields of the other routers.
 const (
-	// Hub is the router that this one reports to and hears from.
+	// Hub is the router that this one reports to and receives updates from.
 	Hub Name = "hub"
-	// Self tells whether that is this router.
+	// Self tells whether the hub is this router itself.
 	Self Name = "self"
-	// Reads tells whether this router reads the store all the time.
+	// Reads tells whether this router reads the store continuously.
 	Reads Name = "reads"
-	// Routers is how many are known.
+	// Routers is the number of known routers.
 	Routers Name = "routers"
 )
 
-// The fields of the process.
+// Fields of the process.
 const (
-	// Clients is the address for clients.
+	// Clients is the listen address for clients.
 	Clients Name = "clients"
 	// Store is the address of the store.
 	Store Name = "store"
-	// KeyTerm is how long withdrawn keys may be used, by the settings.
+	// KeyTerm is the setting for how long withdrawn keys are accepted.
 	KeyTerm Name = "keyTerm"
-	// Grace is the time that a stop may take, by the settings.
+	// Grace is the setting for the maximum shutdown time.
 	Grace Name = "grace"
-	// Open is how many requests were open.
+	// Open is the number of open requests.
 	Open Name = "open"
-	// Reading is how many connections had a request that was being read.
+	// Reading is the number of connections on which a request was being read.
 	Reading Name = "reading"
-	// Serving is how many had one in its handler.
+	// Serving is the number of connections with a request in its handler.
 	Serving Name = "serving"
-	// Count is how many lines were dropped.
+	// Count is the number of dropped lines.
 	Count Name = "count"
 	// Err is the text of an error.
 	Err Name = "err"
