--- a/core/header/doc.go
+++ b/core/header/doc.go
@@ -1,2 +1,2 @@
-// Package header names the HTTP headers of the fleet's own.
+// Package header defines the names of the HTTP headers that routers exchange with callers and endpoints.
 package header
--- a/core/header/header.go
+++ b/core/header/header.go
@@ -1,9 +1,9 @@
 package header
 
-// Name is the name of an HTTP header; docs/PLATFORM.md says who writes and who reads each.
+// Name is the name of an HTTP header. docs/PLATFORM.md describes who sets and who reads each header.
 type Name = string
 
-// The headers between caller, router and endpoint.
+// Headers exchanged between callers, routers and endpoints.
 const (
 	Request      Name = "Savoryfall-Request"
 	Attempt      Name = "Savoryfall-Attempt"
