--- a/core/ticket/sealer.go
+++ b/core/ticket/sealer.go
@@ -9,40 +9,41 @@
 
 const macBytes = 12
 
-// Sealer makes and opens tickets; with an empty key it makes none and opens none.
+// Sealer creates and verifies tickets, which are authenticated but not encrypted. With an empty key it creates none and
+// accepts none.
 type Sealer struct {
 	key []byte
 }
 
-// NewSealer takes the secret that all routers share.
+// NewSealer returns a Sealer with the given secret, which must be the same on all routers.
 func NewSealer(key []byte) *Sealer {
 	return &Sealer{key: key}
 }
 
-// Seal names the endpoint and its incarnation.
+// Seal returns a ticket for the endpoint and its incarnation.
 func (s *Sealer) Seal(endpoint, incarnation string) string {
 	if len(s.key) == 0 {
 		return ""
 	}
-	text := endpoint + "\x00" + incarnation
-	return base64.RawURLEncoding.EncodeToString(append(s.mac(text), text...))
+	payload := endpoint + "\x00" + incarnation
+	return base64.RawURLEncoding.EncodeToString(append(s.mac(payload), payload...))
 }
 
-// Open reads a ticket; ok is false for one that was not sealed with the same key.
+// Open decodes a ticket. ok is false if it was not created with the same key.
 func (s *Sealer) Open(ticket string) (endpoint, incarnation string, ok bool) {
 	raw, err := base64.RawURLEncoding.DecodeString(ticket)
 	if err != nil || len(s.key) == 0 || len(raw) < macBytes {
 		return "", "", false
 	}
-	text := string(raw[macBytes:])
-	if !hmac.Equal(raw[:macBytes], s.mac(text)) {
+	payload := string(raw[macBytes:])
+	if !hmac.Equal(raw[:macBytes], s.mac(payload)) {
 		return "", "", false
 	}
-	return strings.Cut(text, "\x00")
+	return strings.Cut(payload, "\x00")
 }
 
-func (s *Sealer) mac(text string) []byte {
+func (s *Sealer) mac(payload string) []byte {
 	m := hmac.New(sha256.New, s.key)
-	m.Write([]byte(text))
+	m.Write([]byte(payload))
 	return m.Sum(nil)[:macBytes]
 }
