--- a/core/version/doc.go
+++ b/core/version/doc.go
@@ -1,2 +1,2 @@
-// Package version describes a model with its versions and adapters.
+// Package version describes the versions and adapters of models.
 package version
--- a/core/version/version.go
+++ b/core/version/version.go
@@ -2,7 +2,7 @@
 
 import "savoryfall/core/tomldoc"
 
-// Version is one loadable form of a model: a version of its weights, or an adapter on top of them.
+// Version is a loadable variant of a model: a version of its weights, or an adapter on top of them.
 type Version struct {
 	model    string
 	name     string
@@ -10,7 +10,7 @@
 	adapter  bool
 }
 
-// Read takes a version from its table.
+// Read parses a version from its table.
 func Read(t *tomldoc.Table) (v Version) {
 	v.model = t.Required("model")
 	v.name = t.Required("name")
@@ -18,21 +18,21 @@
 	return v
 }
 
-// ReadAdapter takes an adapter from its table.
+// ReadAdapter parses an adapter from its table.
 func ReadAdapter(t *tomldoc.Table) (v Version) {
 	v = Read(t)
 	v.adapter = true
 	return v
 }
 
-// Model is the name of the model that it belongs to.
+// Model returns the name of the model that the version belongs to.
 func (v Version) Model() string { return v.model }
 
-// Name is unique among the versions, or the adapters, of its model.
+// Name returns the name, which is unique among the versions, or among the adapters, of the model.
 func (v Version) Name() string { return v.name }
 
-// Replicas is how many engines should hold it warm; zero means all that may serve the model.
+// Replicas returns how many engines should have the version loaded; zero means all engines that may serve the model.
 func (v Version) Replicas() int { return int(v.replicas) }
 
-// Adapter tells whether it is an adapter.
+// Adapter reports whether the version is an adapter.
 func (v Version) Adapter() bool { return v.adapter }
