--- a/core/inforce/apply_test.go
+++ b/core/inforce/apply_test.go
@@ -215,8 +215,8 @@
 	assert.ErrorContains(t, err, "digest")
 }
 
-// Two writers interleave the parts of their snapshots, and one of them stops midway. Recovery still finds the complete
-// snapshot.
+// Two writers interleave the parts of their snapshots, and the data of one of them is invalid. Recovery still finds the
+// valid snapshot.
 func TestRecoveryFindsTheWholeSnapshot(t *testing.T) {
 	records, _ := recordsOf([]edit{{items: []int{0}}, {items: []int{1}}})
 	data, err := applyAll(t, records).Snapshot()
@@ -238,15 +238,15 @@
 	base := "id = \"base\"\n[[added.models]]\nname = \"m\"\n" +
 		"[[added.endpoints]]\nname = \"e\"\naddress = \"127.0.0.1:1\"\nfailureDomain = \"d\"\nmodels = [\"m\"]\n"
 	c := applyAll(t, [][]byte{inforce.NoteRecord(base)})
-	for _, given := range []struct{ text, want string }{
+	for _, tc := range []struct{ text, want string }{
 		{"[withdrawn]\nmodels = [\"gone\"]\n", "models/gone is changed or withdrawn, but is not in force"},
 		{"[[added.endpoints]]\nname = \"f\"\naddress = \"127.0.0.1:2\"\nfailureDomain = \"d\"\nmodels = [\"x\"]\n", `serves the model "x"`},
 		{"[[added.endpoints]]\nname = \"f\"\naddress = \"127.0.0.1:1\"\nfailureDomain = \"d\"\nmodels = [\"m\"]\n", `has the address 127.0.0.1:1 of endpoint "e"`},
 		{"[withdrawn]\nmodels = [\"m\"]\n", `endpoint "e" serves it`},
 		{"[[added.versions]]\nmodel = \"x\"\nname = \"v\"\n", `the model "x", which is not in force`},
 	} {
-		n, err := note.Parse("note", []byte("id = \"next\"\nbasedOn = \"base\"\n"+given.text))
+		n, err := note.Parse("note", []byte("id = \"next\"\nbasedOn = \"base\"\n"+tc.text))
 		assert.NilError(t, err)
-		assert.Assert(t, strings.Contains(c.Check(n), given.want), "%q", c.Check(n))
+		assert.Assert(t, strings.Contains(c.Check(n), tc.want), "%q", c.Check(n))
 	}
 }
