--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -125,7 +125,7 @@
 // recount adds the totals up anew, after a change of who is usable, and now and then against the drift of adding.
 func (l *Ledger) recount() {
 	for _, p := range l.pools {
-		p.totals = placement.Sum(l.all, p.members)
+		p.totals = placement.SumUsable(l.all, p.members)
 	}
 }
 
@@ -267,11 +267,11 @@
 	defer l.mu.Unlock()
 	p := l.pools[q.Pool]
 	if p == nil {
-		return Choice{Reason: placement.ReasonNone}
+		return Choice{Reason: placement.ReasonNoneUsable}
 	}
 	members := p.members
 	defer l.exclude(q.Exclude)()
-	r := placement.Request{Key: q.Key, Warm: placement.None, Returning: q.Returning, Worth: q.Worth, Tokens: q.Tokens}
+	r := placement.Request{Key: q.Key, Warm: placement.NoCandidate, Returning: q.Returning, Worth: q.Worth, Tokens: q.Tokens}
 	r.Totals = p.totals
 	if i, ok := l.index[q.Warm]; ok && slices.Contains(l.entries[i].pools, p) {
 		r.Warm = int(i)
@@ -279,7 +279,7 @@
 	i, reason := policy.Choose(r, l.all, members)
 	c = Choice{Members: len(members), Usable: r.Totals.Usable, Reason: reason}
 	c.MeanTokens = r.Totals.Tokens / float64(max(c.Usable, 1))
-	if i != placement.None {
+	if i != placement.NoCandidate {
 		c.Endpoint = l.entries[i].name
 		c.Requests, c.Tokens = l.all[i].Requests(), l.all[i].Tokens()
 		c.Hash = l.all[i].Hash()
--- a/core/placement/baselines.go
+++ b/core/placement/baselines.go
@@ -10,119 +10,119 @@
 	"savoryfall/core/scatter"
 )
 
-func usable(all []candidate.Candidate, members []int32) (list []int32) {
+func usableMembers(candidates []candidate.Candidate, members []int32) (list []int32) {
 	for _, i := range members {
-		if all[i].Usable() {
+		if candidates[i].Usable() {
 			list = append(list, i)
 		}
 	}
 	return list
 }
 
-type uniform struct {
-	mu     sync.Mutex
-	random *rand.Rand
+type randomPolicy struct {
+	mu  sync.Mutex
+	rng *rand.Rand
 }
 
-func (p *uniform) Choose(_ Request, all []candidate.Candidate, members []int32) (int, Reason) {
-	list := usable(all, members)
+func (p *randomPolicy) Choose(_ Request, candidates []candidate.Candidate, members []int32) (int, Reason) {
+	list := usableMembers(candidates, members)
 	if len(list) == 0 {
-		return None, ReasonNone
+		return NoCandidate, ReasonNoneUsable
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return int(list[p.random.IntN(len(list))]), ReasonRandom
+	return int(list[p.rng.IntN(len(list))]), ReasonRandom
 }
 
 type leastLoaded struct{}
 
-func (leastLoaded) Choose(_ Request, all []candidate.Candidate, members []int32) (int, Reason) {
-	best, least := None, math.Inf(1)
-	for _, i := range usable(all, members) {
-		if load := all[i].Tokens() / all[i].Weight(); load < least {
+func (leastLoaded) Choose(_ Request, candidates []candidate.Candidate, members []int32) (int, Reason) {
+	best, least := NoCandidate, math.Inf(1)
+	for _, i := range usableMembers(candidates, members) {
+		if load := candidates[i].Tokens() / candidates[i].Weight(); load < least {
 			best, least = int(i), load
 		}
 	}
-	if best == None {
-		return None, ReasonNone
+	if best == NoCandidate {
+		return NoCandidate, ReasonNoneUsable
 	}
-	return best, ReasonLeast
+	return best, ReasonLeastLoaded
 }
 
 type twoChoices struct {
-	mu     sync.Mutex
-	random *rand.Rand
+	mu  sync.Mutex
+	rng *rand.Rand
 }
 
-func (p *twoChoices) Choose(_ Request, all []candidate.Candidate, members []int32) (int, Reason) {
-	list := usable(all, members)
+func (p *twoChoices) Choose(_ Request, candidates []candidate.Candidate, members []int32) (int, Reason) {
+	list := usableMembers(candidates, members)
 	if len(list) == 0 {
-		return None, ReasonNone
+		return NoCandidate, ReasonNoneUsable
 	}
 	p.mu.Lock()
-	a, b := int(list[p.random.IntN(len(list))]), int(list[p.random.IntN(len(list))])
+	a, b := int(list[p.rng.IntN(len(list))]), int(list[p.rng.IntN(len(list))])
 	p.mu.Unlock()
-	if all[b].Tokens()/all[b].Weight() < all[a].Tokens()/all[a].Weight() {
+	if candidates[b].Tokens()/candidates[b].Weight() < candidates[a].Tokens()/candidates[a].Weight() {
 		a = b
 	}
-	return a, ReasonLeast
+	return a, ReasonLeastLoaded
 }
 
 type rendezvous struct{}
 
-func (rendezvous) Choose(r Request, all []candidate.Candidate, members []int32) (int, Reason) {
-	best, bestScore := None, math.Inf(-1)
-	for _, i := range usable(all, members) {
-		if s := weighted(unit(scatter.Mix(r.Key^all[i].Hash())), all[i].Weight()); s > bestScore {
-			best, bestScore = int(i), s
+func (rendezvous) Choose(r Request, candidates []candidate.Candidate, members []int32) (int, Reason) {
+	best, bestScore := NoCandidate, math.Inf(-1)
+	for _, i := range usableMembers(candidates, members) {
+		if score := weightedScore(toUnitInterval(scatter.Mix(r.Key^candidates[i].Hash())), candidates[i].Weight()); score > bestScore {
+			best, bestScore = int(i), score
 		}
 	}
-	if best == None {
-		return None, ReasonNone
+	if best == NoCandidate {
+		return NoCandidate, ReasonNoneUsable
 	}
 	return best, ReasonRank
 }
 
-const pointsPerCandidate = 64
+const virtualNodes = 64
 
 type point struct {
-	at    uint64
-	index int32
+	position uint64
+	index    int32
 }
 
-// ring is a hash ring with virtual nodes, rebuilt when the usable candidates change.
+// ring is a consistent-hash ring with virtual nodes, rebuilt when the set of usable candidates changes.
 type ring struct {
-	mu     sync.Mutex
-	of     uint64
-	points []point
+	mu          sync.Mutex
+	membersHash uint64
+	points      []point
 }
 
-func (p *ring) Choose(r Request, all []candidate.Candidate, members []int32) (int, Reason) {
-	list := usable(all, members)
+func (p *ring) Choose(r Request, candidates []candidate.Candidate, members []int32) (int, Reason) {
+	list := usableMembers(candidates, members)
 	if len(list) == 0 {
-		return None, ReasonNone
+		return NoCandidate, ReasonNoneUsable
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.build(all, list)
-	at := scatter.Mix(r.Key)
-	n := sort.Search(len(p.points), func(i int) bool { return p.points[i].at >= at })
-	return int(p.points[n%len(p.points)].index), ReasonRank
+	p.rebuild(candidates, list)
+	position := scatter.Mix(r.Key)
+	next := sort.Search(len(p.points), func(i int) bool { return p.points[i].position >= position })
+	return int(p.points[next%len(p.points)].index), ReasonRank
 }
 
-func (p *ring) build(all []candidate.Candidate, list []int32) {
-	of := uint64(len(list))
+func (p *ring) rebuild(candidates []candidate.Candidate, list []int32) {
+	membersHash := uint64(len(list))
 	for _, i := range list {
-		of = scatter.Mix(of ^ all[i].Hash())
+		membersHash = scatter.Mix(membersHash ^ candidates[i].Hash())
 	}
-	if of == p.of && p.points != nil {
+	if membersHash == p.membersHash && p.points != nil {
 		return
 	}
-	p.of, p.points = of, nil
+	p.membersHash, p.points = membersHash, nil
 	for _, i := range list {
-		for v := range uint64(pointsPerCandidate) {
-			p.points = append(p.points, point{at: scatter.Mix(all[i].Hash() + v*0x9e3779b97f4a7c15), index: i})
+		for v := range uint64(virtualNodes) {
+			p.points = append(p.points, point{position: scatter.Mix(candidates[i].Hash() + v*0x9e3779b97f4a7c15), index: i})
 		}
 	}
-	sort.Slice(p.points, func(a, b int) bool { return p.points[a].at < p.points[b].at })
+	sort.Slice(p.points, func(a, b int) bool { return p.points[a].position < p.points[b].position })
 }
--- a/core/placement/bounded.go
+++ b/core/placement/bounded.go
@@ -7,40 +7,42 @@
 	"savoryfall/core/scatter"
 )
 
-// Bounded is weighted rendezvous hashing with a bounded load: among the candidates under the bound, the one that
-// ranks highest for the key. Every router ranks alike without a message, so two routers that find the first
-// choice full spill a chat to the same second choice, where it is warm the next time.
+// Bounded is weighted rendezvous hashing with bounded loads: it chooses the highest-ranked candidate for the
+// key whose load is within the bound. All routers compute the same ranking without coordination, so two routers that
+// find the first choice full spill a chat to the same second choice, where its prefix is then cached for the next
+// request.
 //
-// A new chat has nothing to lose, so it spills at a lower bound than a returning one, and a returning one at a bound
-// that rises with the prefix it would lose: what has to move is then what costs least to move. An endpoint that has
-// just come is passed over for returning chats: by rank some of them would be its own now, but they are warm where they
-// were.
+// A new chat has no cached prefix to lose, so it spills at a lower bound than a returning one. The bound for a
+// returning chat rises with the value of its cached prefix, so the chats that are cheapest to move spill first. A
+// recently started endpoint is skipped for returning chats: some would now rank highest there, but their prefixes are
+// cached on the endpoints that served them before.
 type Bounded struct {
 	bound    float64
 	newBound float64
 }
 
-// NewBounded bounds the load of an endpoint at bound times the mean for chats that are worth most where they are,
-// at newBound for those that are worth nothing.
+// NewBounded limits the load of an endpoint to bound times the mean for chats with the highest cache value,
+// and to newBound times the mean for chats with none.
 func NewBounded(bound, newBound float64) *Bounded { return &Bounded{bound: bound, newBound: newBound} }
 
-// Choose takes the warm candidate while it is under the bound; without one, a returning chat's highest ranked one. A
-// chat that is cold wherever it goes takes the lighter of the two highest ranked ones under the bound: two, because
-// all routers see the same lightest one between two digests, and would all send there.
-func (b *Bounded) Choose(r Request, all []candidate.Candidate, members []int32) (index int, reason Reason) {
-	l := b.limits(r)
-	if r.Warm != None && all[r.Warm].Usable() && l.allow(&all[r.Warm]) {
+// Choose returns the warm candidate while it is within the bound, or, if none is known, the highest-ranked established
+// candidate for a returning chat. A chat with no usable cache goes to the less utilized of the two highest-ranked
+// candidates within the bound. It is not simply sent to the least utilized candidate of all, because every router sees
+// the same one until the next load digest, and all would send there.
+func (b *Bounded) Choose(r Request, candidates []candidate.Candidate, members []int32) (index int, reason Reason) {
+	limits := b.loadLimits(r)
+	if r.Warm != NoCandidate && candidates[r.Warm].Usable() && limits.allow(&candidates[r.Warm]) {
 		return r.Warm, ReasonWarm
 	}
-	top := l.rank(r.Key, all, members)
-	if r.Returning && r.Warm == None && top.mature != None && l.allow(&all[top.mature]) {
+	top := limits.rank(r.Key, candidates, members)
+	if r.Returning && r.Warm == NoCandidate && top.mature != NoCandidate && limits.allow(&candidates[top.mature]) {
 		return top.mature, ReasonRank
 	}
-	if top.first == None {
-		return l.settleOver(all, members)
+	if top.first == NoCandidate {
+		return limits.chooseOverloaded(candidates, members)
 	}
 	chosen := top.first
-	if top.second != None && l.full(&all[top.second]) < l.full(&all[top.first]) {
+	if top.second != NoCandidate && limits.utilization(&candidates[top.second]) < limits.utilization(&candidates[top.first]) {
 		chosen = top.second
 	}
 	if chosen != top.mature {
@@ -49,104 +51,105 @@
 	return chosen, ReasonRank
 }
 
-// ranked are the two highest ranked candidates under the bound, and the highest of those that have not just come,
-// whatever its load.
-type ranked struct {
+// topRanked holds the two highest-ranked candidates within the bound, and the highest-ranked one that has not recently
+// started, regardless of load.
+type topRanked struct {
 	first, second, mature int
 }
 
-func (l limits) rank(key uint64, all []candidate.Candidate, members []int32) (top ranked) {
-	top = ranked{first: None, second: None, mature: None}
+func (l loadLimits) rank(key uint64, candidates []candidate.Candidate, members []int32) (top topRanked) {
+	top = topRanked{first: NoCandidate, second: NoCandidate, mature: NoCandidate}
 	first, second, mature := math.Inf(-1), math.Inf(-1), math.Inf(-1)
 	for _, i := range members {
-		c := &all[i]
+		c := &candidates[i]
 		if !c.Usable() {
 			continue
 		}
-		s := unit(scatter.Mix(key ^ c.Hash()))
-		if l.uneven {
-			s = weighted(s, c.Weight())
+		score := toUnitInterval(scatter.Mix(key ^ c.Hash()))
+		if l.unevenWeights {
+			score = weightedScore(score, c.Weight())
 		}
-		if s > mature && !c.Young() {
-			top.mature, mature = int(i), s
+		if score > mature && !c.Young() {
+			top.mature, mature = int(i), score
 		}
-		if s <= second || !l.allow(c) {
+		if score <= second || !l.allow(c) {
 			continue
 		}
-		if s <= first {
-			top.second, second = int(i), s
+		if score <= first {
+			top.second, second = int(i), score
 			continue
 		}
 		top.second, second = top.first, first
-		top.first, first = int(i), s
+		top.first, first = int(i), score
 	}
 	return top
 }
 
-// settleOver takes the lightest when all are over the bound.
-func (l limits) settleOver(all []candidate.Candidate, members []int32) (index int, reason Reason) {
-	index = l.lightest(all, members)
-	if index == None {
-		return None, ReasonNone
+// chooseOverloaded returns the least utilized candidate when all are over the bound.
+func (l loadLimits) chooseOverloaded(candidates []candidate.Candidate, members []int32) (index int, reason Reason) {
+	index = l.leastUtilized(candidates, members)
+	if index == NoCandidate {
+		return NoCandidate, ReasonNoneUsable
 	}
-	return index, ReasonLeast
+	return index, ReasonLeastLoaded
 }
 
-// limits are the loads that a candidate of weight one may have: requests with the new one, tokens without it.
-type limits struct {
-	requests float64
-	tokens   float64
-	uneven   bool
+// loadLimits are the limits for a candidate of weight 1. The request limit includes the new request; the token limit
+// does not.
+type loadLimits struct {
+	requests      float64
+	tokens        float64
+	unevenWeights bool
 }
 
-func (b *Bounded) limits(r Request) (l limits) {
+func (b *Bounded) loadLimits(r Request) (l loadLimits) {
 	bound := b.newBound + (b.bound-b.newBound)*r.Worth
-	// Rounded up, and for tokens compared before the request is added: with few requests an engine, one alone is
-	// over any multiple of the mean, and nothing could be placed.
+	// The request limit is rounded up, and the token limit is compared before adding the request. With few requests in
+	// the pool, a single one puts an endpoint over any multiple of the mean, and nothing could be placed.
 	l.requests = math.Ceil(bound * (r.Totals.Requests + 1) / r.Totals.Weight)
 	l.tokens = (bound + tokenSlack) * (r.Totals.Tokens + r.Tokens) / r.Totals.Weight
-	l.uneven = r.Totals.Uneven
+	l.unevenWeights = r.Totals.UnevenWeights
 	return l
 }
 
-// tokenSlack widens the bound on tokens. Nobody knows how long an answer will be, so the expected tokens of an engine
-// are off by a fifth and more; held to the bound of the requests, they sent chats away from where they are warm
-// without making the true load more even.
+// tokenSlack widens the bound on tokens. Answer lengths are unknown in advance, so the expected tokens of an endpoint
+// are off by a fifth or more. With the same bound as for requests, chats were moved away from their cached prefixes
+// without making the actual load more even.
 const tokenSlack = 0.4
 
-func (l limits) allow(c *candidate.Candidate) bool {
+func (l loadLimits) allow(c *candidate.Candidate) bool {
 	return c.Requests()+1 <= l.requests*c.Weight() && c.Tokens() <= l.tokens*c.Weight()
 }
 
-// full is how much of what it may have a candidate has.
-func (l limits) full(c *candidate.Candidate) float64 {
+// utilization is the load of a candidate as a fraction of its limit.
+func (l loadLimits) utilization(c *candidate.Candidate) float64 {
 	return max(c.Requests()/l.requests, c.Tokens()/max(l.tokens, 1)) / c.Weight()
 }
 
-func (l limits) lightest(all []candidate.Candidate, members []int32) int {
-	best, least := None, math.Inf(1)
+func (l loadLimits) leastUtilized(candidates []candidate.Candidate, members []int32) int {
+	best, least := NoCandidate, math.Inf(1)
 	for _, i := range members {
-		c := &all[i]
-		if c.Usable() && l.full(c) < least {
-			best, least = int(i), l.full(c)
+		c := &candidates[i]
+		if c.Usable() && l.utilization(c) < least {
+			best, least = int(i), l.utilization(c)
 		}
 	}
 	return best
 }
 
-// weighted is the score of weighted rendezvous hashing. With even weights the order of the hashes is the order of the
-// scores, and the logarithm, which costs more than all the rest, is left out.
-func weighted(u, weight float64) float64 {
-	return -weight / math.Log(u)
+// weightedScore is the score in weighted rendezvous hashing. With equal weights the hashes sort in the same order as
+// the scores, so callers skip the logarithm, which costs more than the rest of the ranking.
+func weightedScore(uniform, weight float64) float64 {
+	return -weight / math.Log(uniform)
 }
 
-// unit is a number above 0 and below 1.
-func unit(x uint64) float64 {
+// toUnitInterval maps x to a number strictly between 0 and 1.
+func toUnitInterval(x uint64) float64 {
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// First is the candidate that ranks highest for the key among those that have not just come, whatever their load:
-// where any router looks first for a chat that it knows nothing about.
-func First(key uint64, t Totals, all []candidate.Candidate, members []int32) (index int) {
-	return limits{uneven: t.Uneven}.rank(key, all, members).mature
+// First returns the highest-ranked candidate for the key that has not recently started, regardless of load.
+// Routers without other information look for the chat there first.
+func First(key uint64, totals Totals, candidates []candidate.Candidate, members []int32) (index int) {
+	return loadLimits{unevenWeights: totals.UnevenWeights}.rank(key, candidates, members).mature
 }
--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,3 +1,3 @@
-// Package placement chooses the endpoint for a request: bounded-load rendezvous, and the baselines
-// it is measured against.
+// Package placement chooses the endpoint for a request. It implements bounded-load rendezvous hashing and the baseline
+// policies that it is compared with.
 package placement
--- a/core/placement/policy.go
+++ b/core/placement/policy.go
@@ -7,85 +7,85 @@
 	"savoryfall/core/candidate"
 )
 
-// None is the choice when no candidate is usable.
-const None = -1
+// NoCandidate is the index returned when no candidate is usable.
+const NoCandidate = -1
 
-// Request is what a policy may know of a request.
+// Request holds the properties of a request that a policy may use.
 type Request struct {
-	// Key is the hash that places the chat.
+	// Key is the routing hash of the chat.
 	Key uint64
-	// Warm is the index of the candidate that a ticket, or an entry among the spills, names; or None.
+	// Warm is the index of the candidate named by a ticket or a spill table entry, or NoCandidate.
 	Warm int
-	// Returning tells whether the chat was answered before, so that it is warm somewhere.
+	// Returning reports whether the chat was answered before, so that some endpoint has its prefix cached.
 	Returning bool
-	// Worth is how much the chat would lose elsewhere: from 0 for nothing to 1 for as much as any.
+	// Worth is how much the chat would lose by moving away from its cached prefix, from 0 (nothing) to 1 (as much
+	// as any).
 	Worth float64
-	// Tokens is how many tokens the request is expected to cost.
+	// Tokens is the expected cost of the request in tokens.
 	Tokens float64
-	// Totals are those of the pool.
 	Totals Totals
 }
 
-// Totals add up the usable members of a pool.
+// Totals are the sums over the usable members of a pool.
 type Totals struct {
 	Usable   int
 	Requests float64
 	Tokens   float64
 	Weight   float64
-	// Uneven tells whether their weights differ.
-	Uneven bool
+	// UnevenWeights reports whether the weights of the usable members differ.
+	UnevenWeights bool
 }
 
-// Sum adds up the usable members.
-func Sum(all []candidate.Candidate, members []int32) (t Totals) {
+// SumUsable returns the totals over the usable members.
+func SumUsable(candidates []candidate.Candidate, members []int32) (totals Totals) {
 	weight := 0.0
 	for _, i := range members {
-		c := &all[i]
+		c := &candidates[i]
 		if !c.Usable() {
 			continue
 		}
-		if t.Usable == 0 {
+		if totals.Usable == 0 {
 			weight = c.Weight()
 		}
-		t.Usable++
-		t.Requests += c.Requests()
-		t.Tokens += c.Tokens()
-		t.Weight += c.Weight()
-		t.Uneven = t.Uneven || c.Weight() != weight
+		totals.Usable++
+		totals.Requests += c.Requests()
+		totals.Tokens += c.Tokens()
+		totals.Weight += c.Weight()
+		totals.UnevenWeights = totals.UnevenWeights || c.Weight() != weight
 	}
-	return t
+	return totals
 }
 
-// Policy chooses among the members of a pool, which are indexes of all; it never chooses one that is not usable.
+// Policy chooses among the members of a pool, given as indexes into candidates. It never chooses an unusable one.
 type Policy interface {
-	Choose(r Request, all []candidate.Candidate, members []int32) (index int, reason Reason)
+	Choose(r Request, candidates []candidate.Candidate, members []int32) (index int, reason Reason)
 }
 
-// Reason is why a candidate was chosen.
+// Reason tells why a candidate was chosen.
 type Reason string
 
 // The reasons of all policies.
 const (
-	ReasonWarm    Reason = "warm"
-	ReasonRank    Reason = "rank"
-	ReasonSpilled Reason = "spilled"
-	ReasonLeast   Reason = "leastLoaded"
-	ReasonRandom  Reason = "random"
-	ReasonNone    Reason = "noneUsable"
+	ReasonWarm        Reason = "warm"
+	ReasonRank        Reason = "rank"
+	ReasonSpilled     Reason = "spilled"
+	ReasonLeastLoaded Reason = "leastLoaded"
+	ReasonRandom      Reason = "random"
+	ReasonNoneUsable  Reason = "noneUsable"
 )
 
-// New makes the policy of that name; ok is false when there is none.
+// New returns the policy with the given name; ok is false if there is none.
 func New(name string, bound, newBound float64, seed uint64) (p Policy, ok bool) {
-	random := rand.New(rand.NewPCG(seed, seed))
+	rng := rand.New(rand.NewPCG(seed, seed))
 	switch name {
 	case "bounded":
 		return NewBounded(bound, newBound), true
 	case "random":
-		return &uniform{random: random}, true
+		return &randomPolicy{rng: rng}, true
 	case "leastLoaded":
 		return leastLoaded{}, true
 	case "twoChoices":
-		return &twoChoices{random: random}, true
+		return &twoChoices{rng: rng}, true
 	case "rendezvous":
 		return rendezvous{}, true
 	case "ring":
@@ -94,7 +94,7 @@
 	return nil, false
 }
 
-// Names are the names that New takes.
+// Names returns the names accepted by New.
 func Names() []string {
 	names := []string{"bounded", "random", "leastLoaded", "twoChoices", "rendezvous", "ring"}
 	sort.Strings(names)
