--- a/core/ledger/digest.go
+++ b/core/ledger/digest.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// peerDigest is what one peer last said of its own requests, by the index of the endpoint.
-type peerDigest struct {
+// peerLoad is the latest load digest of one peer, covering only the peer's own requests, by endpoint index.
+type peerLoad struct {
 	at       time.Time
 	requests []float64
 	tokens   []float64
 }
 
-// The two forms of a digest, told apart by its first byte.
+// The two digest formats; the first byte of a digest tells them apart.
 const (
-	formDense  = 0
-	formSparse = 1
+	formatDense  = 0
+	formatSparse = 1
 )
 
-// Digest is what this process holds on each endpoint, as varints in the order of the endpoints' names: requests, and
-// tokens in units of tokenUnit. It is written for all endpoints, or with gaps for those that are not idle, whichever
-// is shorter: in a large region a router has work on few of them. The shape stands for the endpoints.
-func (l *Ledger) Digest() (shape uint32, data []byte) {
+// Digest encodes this router's own load on each endpoint as varints in the order of the endpoint names: requests, and
+// tokens in units of tokenUnit. It uses the shorter of two formats: dense, with all endpoints, or sparse, with index
+// gaps and non-idle endpoints only. In a large region a router has requests on few endpoints. The fingerprint
+// identifies the list of endpoints; messages carry it as Shape.
+func (l *Ledger) Digest() (fingerprint uint32, data []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	dense, sparse := []byte{formDense}, []byte{formSparse}
+	dense, sparse := []byte{formatDense}, []byte{formatSparse}
 	last := 0
-	for i, e := range l.entries {
+	for i, e := range l.loads {
 		requests, tokens := uint64(e.requests), uint64(math.Ceil(e.tokens/tokenUnit))
 		dense = appendLoad(dense, requests, tokens)
 		if requests == 0 && tokens == 0 {
@@ -38,9 +39,9 @@
 		last = i
 	}
 	if len(sparse) < len(dense) {
-		return l.shape(), sparse
+		return l.fingerprint(), sparse
 	}
-	return l.shape(), dense
+	return l.fingerprint(), dense
 }
 
 func appendLoad(data []byte, requests, tokens uint64) []byte {
@@ -48,99 +49,99 @@
 	return binary.AppendUvarint(data, tokens)
 }
 
-// tokenUnit makes most counts of tokens fit one or two bytes.
+// tokenUnit is chosen so that most token counts fit in one or two bytes.
 const tokenUnit = 16
 
-// Peer takes the digest of a peer that has the same endpoints in force; one of another shape is dropped, because its
-// indexes would mean other endpoints.
-func (l *Ledger) Peer(name string, shape uint32, data []byte, at time.Time) (ok bool) {
+// Peer stores the digest of a peer. It drops a digest with a different fingerprint, because its indexes would refer to
+// other endpoints.
+func (l *Ledger) Peer(name string, fingerprint uint32, data []byte, at time.Time) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d, ok := parseDigest(data, len(l.entries))
-	if !ok || shape != l.shape() {
+	d, ok := parsePeerLoad(data, len(l.loads))
+	if !ok || fingerprint != l.fingerprint() {
 		return false
 	}
 	d.at = at
-	l.subtract(l.peers[name])
+	l.removePeerLoad(l.peers[name])
 	if l.peers == nil {
-		l.peers = map[string]*peerDigest{}
+		l.peers = map[string]*peerLoad{}
 	}
 	l.peers[name] = d
-	l.add(d, 1)
+	l.addPeerLoad(d, 1)
 	return true
 }
 
-func parseDigest(data []byte, n int) (d *peerDigest, ok bool) {
-	if len(data) == 0 || data[0] > formSparse {
+func parsePeerLoad(data []byte, n int) (d *peerLoad, ok bool) {
+	if len(data) == 0 || data[0] > formatSparse {
 		return nil, false
 	}
-	d = &peerDigest{requests: make([]float64, n), tokens: make([]float64, n)}
-	r := reader{data: data[1:]}
-	if data[0] == formDense {
+	d = &peerLoad{requests: make([]float64, n), tokens: make([]float64, n)}
+	r := varintReader{data: data[1:]}
+	if data[0] == formatDense {
 		for i := range n {
 			d.read(&r, i)
 		}
-		return d, !r.broken && len(r.data) == 0
+		return d, !r.invalid && len(r.data) == 0
 	}
-	for at := uint64(0); len(r.data) > 0 && !r.broken; {
+	for at := uint64(0); len(r.data) > 0 && !r.invalid; {
 		at += r.next()
 		if at >= uint64(n) {
 			return nil, false
 		}
 		d.read(&r, int(at))
 	}
-	return d, !r.broken
+	return d, !r.invalid
 }
 
-func (d *peerDigest) read(r *reader, i int) {
+func (d *peerLoad) read(r *varintReader, i int) {
 	d.requests[i] = float64(r.next())
 	d.tokens[i] = float64(r.next()) * tokenUnit
 }
 
-// reader takes varints from foreign bytes.
-type reader struct {
-	data   []byte
-	broken bool
+// varintReader reads varints from untrusted data.
+type varintReader struct {
+	data    []byte
+	invalid bool
 }
 
-func (r *reader) next() (v uint64) {
+func (r *varintReader) next() (v uint64) {
 	v, size := binary.Uvarint(r.data)
 	if size <= 0 {
-		r.broken = true
+		r.invalid = true
 		return 0
 	}
 	r.data = r.data[size:]
 	return v
 }
 
-func (l *Ledger) subtract(d *peerDigest) {
+func (l *Ledger) removePeerLoad(d *peerLoad) {
 	if d != nil {
-		l.add(d, -1)
+		l.addPeerLoad(d, -1)
 	}
 }
 
-func (l *Ledger) add(d *peerDigest, sign float64) {
-	for i, e := range l.entries {
-		e.peerRequest = max(e.peerRequest+sign*d.requests[i], 0)
+func (l *Ledger) addPeerLoad(d *peerLoad, sign float64) {
+	for i, e := range l.loads {
+		e.peerRequests = max(e.peerRequests+sign*d.requests[i], 0)
 		e.peerTokens = max(e.peerTokens+sign*d.tokens[i], 0)
-		l.refresh(int32(i))
+		l.recompute(int32(i))
 	}
 }
 
-// Expire drops the digests of peers that have been silent too long.
+// Expire drops the digests of peers that have not sent one for digestTTL.
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, d := range l.peers {
-		if now.Sub(d.at) > digestLife {
-			l.subtract(d)
+		if now.Sub(d.at) > digestTTL {
+			l.removePeerLoad(d)
 			delete(l.peers, name)
 		}
 	}
-	for i := range l.entries {
-		l.refresh(int32(i))
+	for i := range l.loads {
+		l.recompute(int32(i))
 	}
-	l.recount()
+	l.recomputeTotals()
 }
 
 // Forget drops the digest of a peer that is known to be gone.
@@ -148,16 +149,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d := l.peers[name]; d != nil {
-		l.subtract(d)
+		l.removePeerLoad(d)
 		delete(l.peers, name)
 	}
 }
 
-// dropDigests is for a change of the endpoints: the indexes in older digests mean other endpoints from now on.
-func (l *Ledger) dropDigests() {
+// dropPeerLoads is called when the list of endpoints changes: the indexes in older digests would refer to other
+// endpoints.
+func (l *Ledger) dropPeerLoads() {
 	l.peers = nil
-	for i, e := range l.entries {
-		e.peerRequest, e.peerTokens = 0, 0
-		l.refresh(int32(i))
+	for i, e := range l.loads {
+		e.peerRequests, e.peerTokens = 0, 0
+		l.recompute(int32(i))
 	}
 }
--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -1,3 +1,3 @@
-// Package ledger keeps the expected load of every endpoint from reports, own requests and peers'
-// digests.
+// Package ledger estimates the load of every endpoint from endpoint reports, this router's own requests and the digests
+// of its peers.
 package ledger
--- a/core/ledger/flight.go
+++ b/core/ledger/flight.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Flight is a request of our own that an endpoint holds.
+// Flight is a request of this router that is in progress on an endpoint.
 type Flight struct {
 	ledger *Ledger
 	name   string
@@ -12,40 +12,40 @@
 	ended  bool
 }
 
-// Send books a request on an endpoint with the tokens that it is expected to cost.
+// Send records a request sent to an endpoint, with its expected cost in tokens.
 func (l *Ledger) Send(name string, tokens float64) *Flight {
 	f := &Flight{ledger: l, name: name, tokens: tokens}
-	l.book(name, 1, tokens)
+	l.adjustOwn(name, 1, tokens)
 	return f
 }
 
-// Expect replaces the tokens that the request is expected to cost still.
+// Expect replaces the expected remaining cost in tokens.
 func (f *Flight) Expect(tokens float64) {
-	f.ledger.book(f.name, 0, tokens-f.tokens)
+	f.ledger.adjustOwn(f.name, 0, tokens-f.tokens)
 	f.tokens = tokens
 }
 
-// End takes the request off the books; a second call does nothing.
+// End removes the request from the load of the endpoint; further calls do nothing.
 func (f *Flight) End() {
 	if f.ended {
 		return
 	}
 	f.ended = true
-	f.ledger.book(f.name, -1, -f.tokens)
+	f.ledger.adjustOwn(f.name, -1, -f.tokens)
 }
 
-func (l *Ledger) book(name string, requests, tokens float64) {
+func (l *Ledger) adjustOwn(name string, requests, tokens float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i, ok := l.index[name]
+	i, ok := l.indexByName[name]
 	if !ok {
 		return
 	}
-	e := l.entries[i]
+	e := l.loads[i]
 	e.requests = max(e.requests+requests, 0)
 	e.tokens = max(e.tokens+tokens, 0)
 	if requests != 0 {
-		e.record(requests, time.Now())
+		e.recordChange(requests, time.Now())
 	}
-	l.refresh(i)
+	l.recompute(i)
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -14,93 +14,96 @@
 )
 
 const (
-	// digestLife is how long a peer's digest counts; a peer that is silent for longer is dead or cut off, and what
-	// it last said would keep load on the books that has long ended.
-	digestLife = 4 * time.Second
-	// fresh is up to what age an endpoint's own report is newer than what the peers have said, which is half a period
-	// old on average.
-	fresh = 600 * time.Millisecond
-	// remembered is how long own changes are kept, to add them to a late report.
-	remembered = 2 * time.Second
+	// digestTTL is how long a peer's digest counts. A peer that is silent for longer is dead or partitioned, and its
+	// last digest would keep counting requests that ended long ago.
+	digestTTL = 4 * time.Second
+	// reportMaxAge is the age up to which an endpoint's own report is preferred to the peers' digests, which on average
+	// are half a period old.
+	reportMaxAge = 600 * time.Millisecond
+	// changeRetention is how long changes to own requests are kept, so that they can be added to a late report.
+	changeRetention = 2 * time.Second
 )
 
-// Ledger keeps the expected load of every endpoint; the zero value knows none.
+// Ledger estimates the load of every endpoint. The zero value has no endpoints.
 type Ledger struct {
-	mu      sync.Mutex
-	index   map[string]int32
-	all     []candidate.Candidate
-	entries []*entry
-	pools   map[string]*pool
-	peers   map[string]*peerDigest
-	// names is the hash of the endpoints' names, in whose order digests are written.
-	names uint64
+	mu          sync.Mutex
+	indexByName map[string]int32
+	candidates  []candidate.Candidate
+	loads       []*endpointLoad
+	pools       map[string]*pool
+	peers       map[string]*peerLoad
+	// namesHash is the hash of the endpoint names, whose order is that of the digests.
+	namesHash uint64
 }
 
-// shape stands for the endpoints in messages, where two bytes are enough to tell one configuration from the next.
-func (l *Ledger) shape() uint32 { return uint32(uint16(l.names)) }
+// fingerprint identifies the list of endpoints in messages; two bytes are enough to tell one configuration from the
+// next.
+func (l *Ledger) fingerprint() uint32 { return uint32(uint16(l.namesHash)) }
 
-// pool is the endpoints that serve the same; its totals follow each change of a load, because adding them up anew for
-// each decision was a third of its cost.
+// pool is the set of endpoints that serve the same model or service. Its totals are updated with each load change,
+// because summing them for each decision took a third of the decision's time.
 type pool struct {
 	members []int32
 	totals  placement.Totals
 }
 
-// entry is what the load of one endpoint is made of.
-type entry struct {
-	name        string
-	pools       []*pool
-	state       health.State
-	requests    float64
-	tokens      float64
-	peerRequest float64
-	peerTokens  float64
-	reported    float64
-	reportedAt  time.Time
-	recent      []change
+// endpointLoad holds the parts from which the load of one endpoint is estimated: requests and tokens are this router's
+// own, peerRequests and peerTokens the sums of the peers' digests, and reported the endpoint's own count.
+type endpointLoad struct {
+	name          string
+	pools         []*pool
+	state         health.State
+	requests      float64
+	tokens        float64
+	peerRequests  float64
+	peerTokens    float64
+	reported      float64
+	reportedAt    time.Time
+	recentChanges []change
 }
 
-// change is a request of our own that was sent or has ended.
+// change is the start (+1) or end (-1) of one of this router's own requests.
 type change struct {
-	at time.Time
-	by float64
+	at    time.Time
+	delta float64
 }
 
-// PoolOfModel names the pool of the engines that serve a model.
+// PoolOfModel returns the pool name for the engines that serve a model.
 func PoolOfModel(model string) string { return "model/" + model }
 
-// PoolOfService names the pool of the processes of a plain service.
+// PoolOfService returns the pool name for the processes of a plain service.
 func PoolOfService(service string) string { return "service/" + service }
 
-// Configure takes the endpoints in force, sorted by name, and keeps what is known of those that stay.
+// Configure sets the current endpoints, which must be sorted by name, and keeps the load of those that were known
+// before.
 func (l *Ledger) Configure(endpoints []endpoint.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	old, oldAll := l.index, l.all
-	oldEntries := l.entries
-	l.index = map[string]int32{}
+	oldIndex, oldCandidates := l.indexByName, l.candidates
+	oldLoads := l.loads
+	l.indexByName = map[string]int32{}
 	l.pools = map[string]*pool{}
-	l.all, l.entries = nil, nil
-	names := xxhash.New()
+	l.candidates, l.loads = nil, nil
+	namesHash := xxhash.New()
 	for i, e := range endpoints {
 		c := candidate.New(e.Name(), e.Weight())
-		en := &entry{name: e.Name()}
-		if j, stays := old[e.Name()]; stays {
-			c, en = oldAll[j], oldEntries[j]
+		load := &endpointLoad{name: e.Name()}
+		if j, exists := oldIndex[e.Name()]; exists {
+			c, load = oldCandidates[j], oldLoads[j]
 			c.SetWeight(e.Weight())
-			en.pools = nil
+			load.pools = nil
 		}
-		l.index[e.Name()] = int32(i)
-		l.all = append(l.all, c)
-		l.entries = append(l.entries, en)
+		l.indexByName[e.Name()] = int32(i)
+		l.candidates = append(l.candidates, c)
+		l.loads = append(l.loads, load)
 		l.addToPools(int32(i), e)
-		_, _ = names.WriteString(e.Name() + "\x00")
+		_, _ = namesHash.WriteString(e.Name() + "\x00")
 	}
-	if sum := names.Sum64(); sum != l.names {
-		l.names = sum
-		l.dropDigests()
+	if sum := namesHash.Sum64(); sum != l.namesHash {
+		l.namesHash = sum
+		l.dropPeerLoads()
 	}
-	l.settleUsable()
+	l.updateUsable()
 }
 
 func (l *Ledger) addToPools(i int32, e endpoint.Endpoint) {
@@ -119,99 +122,101 @@
 		l.pools[name] = p
 	}
 	p.members = append(p.members, i)
-	l.entries[i].pools = append(l.entries[i].pools, p)
+	l.loads[i].pools = append(l.loads[i].pools, p)
 }
 
-// recount adds the totals up anew, after a change of who is usable, and now and then against the drift of adding.
-func (l *Ledger) recount() {
+// recomputeTotals sums the totals afresh after the set of usable endpoints has changed, and periodically, to remove the
+// accumulated rounding errors.
+func (l *Ledger) recomputeTotals() {
 	for _, p := range l.pools {
-		p.totals = placement.SumUsable(l.all, p.members)
+		p.totals = placement.SumUsable(l.candidates, p.members)
 	}
 }
 
-// SetState takes which endpoints may have new work, and forgets none of the others.
+// SetState sets the health state of an endpoint, which determines whether it may receive new requests.
 func (l *Ledger) SetState(name string, state health.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i, ok := l.index[name]
-	if !ok || l.entries[i].state == state {
+	i, ok := l.indexByName[name]
+	if !ok || l.loads[i].state == state {
 		return
 	}
-	l.entries[i].state = state
-	l.settleUsable()
+	l.loads[i].state = state
+	l.updateUsable()
 }
 
-// panicShare is the part of a pool that must be up. When more is down at once, a cut or a fault of our own is
-// likelier than that many deaths, and the few left would be overrun; so the down ones are tried again.
-const panicShare = 0.5
+// panicThreshold is the fraction of a pool that must be up. If less is up, a partition or a local fault is likelier
+// than that many simultaneous failures, and the few remaining endpoints would be overloaded, so the down ones are tried
+// again.
+const panicThreshold = 0.5
 
-func (l *Ledger) settleUsable() {
-	for i, e := range l.entries {
-		l.all[i].SetUsable(e.state == health.Up || e.state == "")
+func (l *Ledger) updateUsable() {
+	for i, e := range l.loads {
+		l.candidates[i].SetUsable(e.state == health.Up || e.state == "")
 	}
 	for _, p := range l.pools {
 		if l.inPanic(p.members) {
-			l.allowDown(p.members)
+			l.includeDown(p.members)
 		}
 	}
-	l.recount()
+	l.recomputeTotals()
 }
 
 func (l *Ledger) inPanic(members []int32) bool {
-	up, staying := 0, 0
+	up, notLeaving := 0, 0
 	for _, i := range members {
-		if l.entries[i].state == health.Leaving {
+		if l.loads[i].state == health.Leaving {
 			continue
 		}
-		staying++
-		if state := l.entries[i].state; state == health.Up || state == "" {
+		notLeaving++
+		if state := l.loads[i].state; state == health.Up || state == "" {
 			up++
 		}
 	}
-	return float64(up) < panicShare*float64(staying)
+	return float64(up) < panicThreshold*float64(notLeaving)
 }
 
-func (l *Ledger) allowDown(members []int32) {
+func (l *Ledger) includeDown(members []int32) {
 	for _, i := range members {
-		if l.entries[i].state != health.Leaving {
-			l.all[i].SetUsable(true)
+		if l.loads[i].state != health.Leaving {
+			l.candidates[i].SetUsable(true)
 		}
 	}
 }
 
-// Report takes how many requests an endpoint said it held, and when that was on the clock of this process.
+// Report records how many requests an endpoint reported, and when, by this router's clock.
 func (l *Ledger) Report(name string, requests int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i, ok := l.index[name]
-	if !ok || at.Before(l.entries[i].reportedAt) {
+	i, ok := l.indexByName[name]
+	if !ok || at.Before(l.loads[i].reportedAt) {
 		return
 	}
-	l.entries[i].reported = float64(requests)
-	l.entries[i].reportedAt = at
-	l.refresh(i)
+	l.loads[i].reported = float64(requests)
+	l.loads[i].reportedAt = at
+	l.recompute(i)
 }
 
-// refresh works the load of one endpoint out anew. A report is late: what was sent since is missing in it, and
-// without adding that every router would see the same idle engine and send to it. What the peers said is late too;
-// the fresher view counts. Taking the larger of the two instead would pile up the errors of both.
-func (l *Ledger) refresh(i int32) {
-	e := l.entries[i]
-	requests := e.requests + e.peerRequest
-	if time.Since(e.reportedAt) < fresh {
-		requests = max(e.reported+e.since(e.reportedAt), e.requests)
+// recompute updates the load of one endpoint. A report is delayed, so the requests sent since are added; otherwise
+// every router would see the same idle engine and send to it. Digests are delayed too, so only the fresher source
+// counts. Taking the larger of the two instead would accumulate the errors of both.
+func (l *Ledger) recompute(i int32) {
+	e := l.loads[i]
+	requests := e.requests + e.peerRequests
+	if time.Since(e.reportedAt) < reportMaxAge {
+		requests = max(e.reported+e.changesSince(e.reportedAt), e.requests)
 	}
 	tokens := e.tokens + e.peerTokens
-	if known := e.requests + e.peerRequest; known > 0 {
+	if known := e.requests + e.peerRequests; known > 0 {
 		tokens *= requests / known
 	}
 	l.setLoad(i, requests, tokens)
 }
 
 func (l *Ledger) setLoad(i int32, requests, tokens float64) {
-	c := &l.all[i]
+	c := &l.candidates[i]
 	if c.Usable() {
-		for _, p := range l.entries[i].pools {
+		for _, p := range l.loads[i].pools {
 			p.totals.Requests += requests - c.Requests()
 			p.totals.Tokens += tokens - c.Tokens()
 		}
@@ -219,24 +224,24 @@
 	c.SetLoad(requests, tokens)
 }
 
-func (e *entry) since(at time.Time) (sum float64) {
-	for _, c := range e.recent {
+func (e *endpointLoad) changesSince(at time.Time) (sum float64) {
+	for _, c := range e.recentChanges {
 		if c.at.After(at) {
-			sum += c.by
+			sum += c.delta
 		}
 	}
 	return sum
 }
 
-func (e *entry) record(by float64, now time.Time) {
+func (e *endpointLoad) recordChange(delta float64, now time.Time) {
 	n := 0
-	for n < len(e.recent) && now.Sub(e.recent[n].at) > remembered {
+	for n < len(e.recentChanges) && now.Sub(e.recentChanges[n].at) > changeRetention {
 		n++
 	}
-	e.recent = append(e.recent[n:], change{at: now, by: by})
+	e.recentChanges = append(e.recentChanges[n:], change{at: now, delta: delta})
 }
 
-// Choice is the outcome of a placement, with the figures that explain it.
+// Choice is the result of a placement, with the values that explain it.
 type Choice struct {
 	Endpoint   string
 	Reason     placement.Reason
@@ -245,12 +250,12 @@
 	MeanTokens float64
 	Usable     int
 	Members    int
-	// Hash is that of the endpoint's name, and First tells whether the key ranks first there.
+	// Hash is the hash of the endpoint name. First reports whether the endpoint ranks highest for the key.
 	Hash  uint64
 	First bool
 }
 
-// Query is one request to place.
+// Query describes a request to place.
 type Query struct {
 	Pool      string
 	Key       uint64
@@ -261,7 +266,7 @@
 	Exclude   []string
 }
 
-// Choose places a request by the policy, and never on an excluded endpoint.
+// Choose places a request with the policy, skipping excluded endpoints.
 func (l *Ledger) Choose(policy placement.Policy, q Query) (c Choice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -273,43 +278,43 @@
 	defer l.exclude(q.Exclude)()
 	r := placement.Request{Key: q.Key, Warm: placement.NoCandidate, Returning: q.Returning, Worth: q.Worth, Tokens: q.Tokens}
 	r.Totals = p.totals
-	if i, ok := l.index[q.Warm]; ok && slices.Contains(l.entries[i].pools, p) {
+	if i, ok := l.indexByName[q.Warm]; ok && slices.Contains(l.loads[i].pools, p) {
 		r.Warm = int(i)
 	}
-	i, reason := policy.Choose(r, l.all, members)
+	i, reason := policy.Choose(r, l.candidates, members)
 	c = Choice{Members: len(members), Usable: r.Totals.Usable, Reason: reason}
 	c.MeanTokens = r.Totals.Tokens / float64(max(c.Usable, 1))
 	if i != placement.NoCandidate {
-		c.Endpoint = l.entries[i].name
-		c.Requests, c.Tokens = l.all[i].Requests(), l.all[i].Tokens()
-		c.Hash = l.all[i].Hash()
-		c.First = reason == placement.ReasonRank || i == placement.First(q.Key, r.Totals, l.all, members)
+		c.Endpoint = l.loads[i].name
+		c.Requests, c.Tokens = l.candidates[i].Requests(), l.candidates[i].Tokens()
+		c.Hash = l.candidates[i].Hash()
+		c.First = reason == placement.ReasonRank || i == placement.First(q.Key, r.Totals, l.candidates, members)
 	}
 	return c
 }
 
-// exclude forbids endpoints for one choice; the returned function allows them again.
+// exclude makes endpoints unusable for one choice; the returned function makes them usable again.
 func (l *Ledger) exclude(names []string) (restore func()) {
 	if len(names) == 0 {
 		return func() {}
 	}
-	var hidden []int32
+	var excluded []int32
 	for _, name := range names {
-		if i, ok := l.index[name]; ok && l.all[i].Usable() {
-			l.all[i].SetUsable(false)
-			hidden = append(hidden, i)
+		if i, ok := l.indexByName[name]; ok && l.candidates[i].Usable() {
+			l.candidates[i].SetUsable(false)
+			excluded = append(excluded, i)
 		}
 	}
-	l.recount()
+	l.recomputeTotals()
 	return func() {
-		for _, i := range hidden {
-			l.all[i].SetUsable(true)
+		for _, i := range excluded {
+			l.candidates[i].SetUsable(true)
 		}
-		l.recount()
+		l.recomputeTotals()
 	}
 }
 
-// State is the load of one endpoint, for people.
+// State is the load of one endpoint as shown to operators.
 type State struct {
 	Endpoint string  `json:"endpoint"`
 	Usable   bool    `json:"usable"`
@@ -320,42 +325,42 @@
 	Reported float64 `json:"reported"`
 }
 
-// States are the loads of all endpoints, sorted by name.
+// States returns the load of all endpoints, sorted by name.
 func (l *Ledger) States() (states []State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, e := range l.entries {
-		c := &l.all[i]
+	for i, e := range l.loads {
+		c := &l.candidates[i]
 		states = append(states, State{
 			Endpoint: e.name, Usable: c.Usable(), Requests: c.Requests(), Tokens: c.Tokens(),
-			Own: e.requests, Peers: e.peerRequest, Reported: e.reported,
+			Own: e.requests, Peers: e.peerRequests, Reported: e.reported,
 		})
 	}
 	return states
 }
 
-// ByHash finds the endpoint whose name has a hash that fits.
-func (l *Ledger) ByHash(fits func(hash uint64) bool) (name string) {
+// ByHash returns the name of the first endpoint whose name hash satisfies match, or an empty string.
+func (l *Ledger) ByHash(match func(hash uint64) bool) (name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i := range l.all {
-		if fits(l.all[i].Hash()) {
-			return l.entries[i].name
+	for i := range l.candidates {
+		if match(l.candidates[i].Hash()) {
+			return l.loads[i].name
 		}
 	}
 	return ""
 }
 
-// SetYoung marks an endpoint that has just come, or has matured.
+// SetYoung sets whether an endpoint has recently started.
 func (l *Ledger) SetYoung(name string, young bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if i, ok := l.index[name]; ok {
-		l.all[i].SetYoung(young)
+	if i, ok := l.indexByName[name]; ok {
+		l.candidates[i].SetYoung(young)
 	}
 }
 
-// Capacity is how many requests a pool may hold when each endpoint of weight one may hold perEndpoint.
+// Capacity returns how many requests a pool may hold if an endpoint of weight 1 may hold perEndpoint.
 func (l *Ledger) Capacity(name string, perEndpoint int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -39,9 +39,9 @@
 	return -1
 }
 
-// An idle engine reports that it is idle, while this router has sent it work since: the work counts. Otherwise every
+// A report that shows an idle engine was made before this router sent it requests: these must be added. Otherwise every
 // router would see the same idle engine until its next report, and all would send there.
-func TestLateReportDoesNotHideWhatWasSentSince(t *testing.T) {
+func TestLateReportIncludesRequestsSentSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(2)
 		at := time.Now()
@@ -57,18 +57,19 @@
 	})
 }
 
-// Peers' digests add up, in either form, and end when the peer is silent; one of other endpoints is dropped.
-func TestDigests(t *testing.T) {
+// Peers' digests are added up in either format and expire when the peer is silent; a digest with another fingerprint is
+// dropped.
+func TestPeerDigests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, busy := range []int{2, 50} {
 			a, b := newLedger(50), newLedger(50)
 			for i := range busy {
 				a.Send(fmt.Sprintf("e%04d", i), 160)
 			}
-			shape, data := a.Digest()
-			assert.Assert(t, b.Peer("a", shape, data, time.Now()))
-			assert.Assert(t, b.Peer("c", shape, data, time.Now()))
-			assert.Assert(t, !b.Peer("d", shape+1, data, time.Now()))
+			fingerprint, data := a.Digest()
+			assert.Assert(t, b.Peer("a", fingerprint, data, time.Now()))
+			assert.Assert(t, b.Peer("c", fingerprint, data, time.Now()))
+			assert.Assert(t, !b.Peer("d", fingerprint+1, data, time.Now()))
 			assert.Equal(t, requests(b, "e0001"), 2.0)
 			b.Forget("c")
 			assert.Equal(t, requests(b, "e0001"), 1.0)
@@ -79,8 +80,8 @@
 	})
 }
 
-// More than half of a pool is down at once, as in a cut: the down ones are tried again rather than overrun the rest;
-// the leaving ones never are.
+// When more than half of a pool is down at once, as in a partition, the down endpoints are used again rather than
+// overloading the rest. Leaving endpoints never are.
 func TestPanicThreshold(t *testing.T) {
 	l := newLedger(4)
 	l.SetState("e0000", health.Leaving)
@@ -101,23 +102,23 @@
 	return names
 }
 
-// FuzzPeer feeds foreign digests; nothing may panic, and what is refused changes nothing.
+// FuzzPeer parses untrusted digests: none may cause a panic, and a rejected one must not change any load.
 func FuzzPeer(f *testing.F) {
 	l := newLedger(3)
 	l.Send("e0001", 100)
-	shape, data := l.Digest()
+	fingerprint, data := l.Digest()
 	f.Add(data)
 	f.Add([]byte{1, 2, 1, 1})
 	f.Add([]byte{0, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		fresh := newLedger(3)
-		if !fresh.Peer("x", shape, data, time.Now()) {
-			assert.Equal(t, requests(fresh, "e0001"), 0.0)
+		receiver := newLedger(3)
+		if !receiver.Peer("x", fingerprint, data, time.Now()) {
+			assert.Equal(t, requests(receiver, "e0001"), 0.0)
 		}
 	})
 }
 
-// BenchmarkChoose is one routing decision; it must not grow in allocations.
+// BenchmarkChoose measures one routing decision; its allocations must not grow with the number of endpoints.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 2500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -134,21 +135,22 @@
 	}
 }
 
-// A note that changes no endpoint comes in between two digests: what the peers said of their load still counts. With
-// 13,000 notes a day each would otherwise blind the placement for up to a period.
-func TestNoteWithoutEndpointsKeepsThePeersLoad(t *testing.T) {
+// A configuration change that leaves the endpoints as they are must not drop the peers' load. With 13,000 configuration
+// changes a day, dropping it each time would leave placement without peer load for up to a period.
+func TestUnchangedEndpointsKeepPeerLoad(t *testing.T) {
 	a, b := newLedger(5), newLedger(5)
 	a.Send("e0001", 160)
-	shape, data := a.Digest()
-	assert.Assert(t, b.Peer("a", shape, data, time.Now()))
+	fingerprint, data := a.Digest()
+	assert.Assert(t, b.Peer("a", fingerprint, data, time.Now()))
 	b.Configure(endpoints(5))
 	assert.Equal(t, requests(b, "e0001"), 1.0)
 	b.Configure(endpoints(4))
 	assert.Equal(t, requests(b, "e0001"), 0.0, "the indexes mean other endpoints now")
 }
 
-// A caller brings the ticket of a chat with another model. Its engine does not serve this one, and is not chosen.
-func TestTicketOfAnotherPoolIsIgnored(t *testing.T) {
+// A client sends the ticket of a chat with another model. That chat's engine does not serve this model and must not be
+// chosen.
+func TestWarmEndpointOfAnotherPoolIsIgnored(t *testing.T) {
 	l := &ledger.Ledger{}
 	list := endpoints(3)
 	other := endpoint.Read(tomldoc.FromValues("test", map[string]any{
