--- a/core/fairness/doc.go
+++ b/core/fairness/doc.go
@@ -1,2 +1,2 @@
-// Package fairness shares what an overloaded service can do between client accounts.
+// Package fairness shares the capacity of an overloaded service between client accounts.
 package fairness
--- a/core/fairness/shares.go
+++ b/core/fairness/shares.go
@@ -7,72 +7,74 @@
 )
 
 const (
-	// half is the time in which a request loses half its weight: an account that surges is known within about a second,
-	// and forgiven some seconds after.
-	half = time.Second
-	// forgotten is the weight below which an account is dropped, so that only those that ask lately are kept.
-	forgotten = 0.05
+	// halfLife is the time in which a request loses half its weight. A surge is recognized within about a second and no
+	// longer held against the account a few seconds after it ends.
+	halfLife = time.Second
+	// minDemand is the demand below which an account is dropped, so that only recently active accounts are kept.
+	minDemand = 0.05
 )
 
-// Shares counts what each account asked for lately. The zero value has seen nothing; it is not safe for concurrent use.
+// Shares tracks the recent demand of each account. The zero value is empty; it is not safe for concurrent use.
 type Shares struct {
-	by map[string]float64
-	at time.Time
+	demandByAccount map[string]float64
+	updatedAt       time.Time
 }
 
 // Saw counts a request of the account.
 func (s *Shares) Saw(account string, now time.Time) {
-	s.fade(now)
-	if s.by == nil {
-		s.by = map[string]float64{}
+	s.decay(now)
+	if s.demandByAccount == nil {
+		s.demandByAccount = map[string]float64{}
 	}
-	s.by[account]++
+	s.demandByAccount[account]++
 }
 
-func (s *Shares) fade(now time.Time) {
-	f := math.Exp2(-float64(now.Sub(s.at)) / float64(half))
-	s.at = now
-	for account, n := range s.by {
-		n *= f
-		if n < forgotten {
-			delete(s.by, account)
+func (s *Shares) decay(now time.Time) {
+	factor := math.Exp2(-float64(now.Sub(s.updatedAt)) / float64(halfLife))
+	s.updatedAt = now
+	for account, n := range s.demandByAccount {
+		n *= factor
+		if n < minDemand {
+			delete(s.demandByAccount, account)
 			continue
 		}
-		s.by[account] = n
+		s.demandByAccount[account] = n
 	}
 }
 
-// Chance is how likely a request of the account is to be let in, from 0 to 1, when a part of all requests can be. The
-// fewest are turned away of those who ask least (max-min fairness): an account that sends many times its usual is cut
-// down to what the others leave, and those who ask for less than an equal share lose nothing. With one chance for all,
-// one account's surge turned away as large a part of everybody else's requests.
-func (s *Shares) Chance(account string, part float64, now time.Time) float64 {
-	s.fade(now)
-	asked := s.by[account]
-	if part >= 1 || asked <= 0 || len(s.by) < 2 {
-		return min(part, 1)
+// Chance returns the probability, from 0 to 1, of admitting a request of the account when only a fraction of all
+// requests can be admitted. The shares are max-min fair: an account that sends many times its usual load is cut down to
+// what the others leave, and accounts that demand less than an equal share lose nothing. With the same probability for
+// everyone, the surge of one account turned away just as large a fraction of all other accounts' requests.
+func (s *Shares) Chance(account string, fraction float64, now time.Time) float64 {
+	s.decay(now)
+	demand := s.demandByAccount[account]
+	if fraction >= 1 || demand <= 0 || len(s.demandByAccount) < 2 {
+		return min(fraction, 1)
 	}
-	return min(s.level(part)/asked, 1)
+	return min(s.fairShare(fraction)/demand, 1)
 }
 
-// level is the most that an account gets, so that all together get the part of what they asked for.
-func (s *Shares) level(part float64) (level float64) {
-	asked, total := make([]float64, 0, len(s.by)), 0.0
-	for _, n := range s.by {
-		asked = append(asked, n)
+// fairShare returns the most that one account gets, such that all accounts together get the given fraction of their
+// demand.
+func (s *Shares) fairShare(fraction float64) (fairShare float64) {
+	demands, total := make([]float64, 0, len(s.demandByAccount)), 0.0
+	for _, n := range s.demandByAccount {
+		demands = append(demands, n)
 	}
-	slices.Sort(asked)
-	// Added up in the order of the map, the same requests would not always give the same chance.
-	for _, n := range asked {
+	slices.Sort(demands)
+	// Summed in sorted order: in map order, rounding would give the same requests a different probability from call to
+	// call.
+	for _, n := range demands {
 		total += n
 	}
-	left := part * total
-	for i, n := range asked {
-		level = left / float64(len(asked)-i)
-		if n >= level {
-			return level
+	remaining := fraction * total
+	for i, n := range demands {
+		fairShare = remaining / float64(len(demands)-i)
+		if n >= fairShare {
+			return fairShare
 		}
-		left -= n
+		remaining -= n
 	}
-	return level
+	return fairShare
 }
--- a/core/fairness/shares_test.go
+++ b/core/fairness/shares_test.go
@@ -20,24 +20,25 @@
 
 var start = time.Unix(1000, 0)
 
-// ask counts n requests of each account, all at once.
-func ask(s *fairness.Shares, by map[string]int) {
-	for account, n := range by {
+// observe counts the given number of requests of each account at the same time.
+func observe(s *fairness.Shares, requests map[string]int) {
+	for account, n := range requests {
 		for range n {
 			s.Saw(account, start)
 		}
 	}
 }
 
-// Nine growers ask for a little and one for eight times as much, in a service that can take half of it all. Each grower
-// was refused every second time for the sake of the tenth; now they lose nothing, and he gets what they leave.
-func TestSurgeOfOneCostsTheOthersNothing(t *testing.T) {
+// Nine accounts send a few requests and one sends eight times as many, to a service that can take half of the total.
+// Without fair shares, the small accounts had every second request refused because of the large one. Now they lose
+// nothing, and the large one gets what they leave.
+func TestSurgeDoesNotReduceOtherAccounts(t *testing.T) {
 	var s fairness.Shares
-	by := map[string]int{"large": 80}
+	requests := map[string]int{"large": 80}
 	for i := range 9 {
-		by[fmt.Sprint("small", i)] = 10
+		requests[fmt.Sprint("small", i)] = 10
 	}
-	ask(&s, by)
+	observe(&s, requests)
 	assert.Equal(t, s.Chance("small3", 0.8, start), 1.0)
 	large := s.Chance("large", 0.8, start)
 	assert.Assert(t, large > 0.57 && large < 0.58, "%v", large)
@@ -45,10 +46,10 @@
 	assert.Equal(t, s.Chance("unknown", 0.5, start), 0.5)
 }
 
-// What is over is forgotten: the account that surged is treated like the others again.
-func TestSurgeIsForgiven(t *testing.T) {
+// Old demand decays: an account with a past surge is treated like the others again.
+func TestPastSurgeHasNoLastingEffect(t *testing.T) {
 	var s fairness.Shares
-	ask(&s, map[string]int{"large": 80, "small": 10})
+	observe(&s, map[string]int{"large": 80, "small": 10})
 	later := start.Add(15 * time.Second)
 	for range 10 {
 		s.Saw("large", later)
@@ -57,8 +58,8 @@
 	assert.Assert(t, s.Chance("large", 0.5, later) > 0.49)
 }
 
-// The same request had another chance each time, by the last digit: what the accounts asked for was added up in another
-// order. A run that had seen and drawn the same could so end otherwise.
+// The sum of the demands used to be taken in map order, so its last digit, and with it the probability, varied between
+// calls. A run could then end differently in spite of the same input and the same random numbers.
 func TestSameRequestsGiveTheSameChance(t *testing.T) {
 	var s fairness.Shares
 	later := start
@@ -72,27 +73,27 @@
 	}
 }
 
-// Whatever was asked, no chance is above one, who asks for less has no smaller chance, and all together are let in as
-// often as there is room.
-func TestRoomIsUsedAndShared(t *testing.T) {
+// For any demand, no probability is above 1, an account with lower demand never has a lower probability, and the
+// expected number of admitted requests equals the available capacity.
+func TestAdmittedFractionIsUsedAndSharedFairly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s fairness.Shares
-		by := map[string]int{}
+		requests := map[string]int{}
 		for i := range rapid.IntRange(2, 12).Draw(t, "accounts") {
-			by[fmt.Sprint(i)] = rapid.IntRange(1, 50).Draw(t, "asked")
+			requests[fmt.Sprint(i)] = rapid.IntRange(1, 50).Draw(t, "demand")
 		}
-		ask(&s, by)
-		part := rapid.Float64Range(0.01, 0.99).Draw(t, "part")
-		total, let := 0.0, 0.0
-		for account, n := range by {
-			chance := s.Chance(account, part, start)
+		observe(&s, requests)
+		fraction := rapid.Float64Range(0.01, 0.99).Draw(t, "fraction")
+		total, admitted := 0.0, 0.0
+		for account, n := range requests {
+			chance := s.Chance(account, fraction, start)
 			assert.Assert(t, chance > 0 && chance <= 1)
 			total += float64(n)
-			let += chance * float64(n)
-			for other, m := range by {
-				assert.Assert(t, m >= n || s.Chance(other, part, start) >= chance-1e-9)
+			admitted += chance * float64(n)
+			for other, m := range requests {
+				assert.Assert(t, m >= n || s.Chance(other, fraction, start) >= chance-1e-9)
 			}
 		}
-		assert.Assert(t, let > part*total-1e-6 && let < part*total+1e-6, "%v of %v", let, part*total)
+		assert.Assert(t, admitted > fraction*total-1e-6 && admitted < fraction*total+1e-6, "%v of %v", admitted, fraction*total)
 	})
 }
