--- a/core/spills/doc.go
+++ b/core/spills/doc.go
@@ -1,2 +1,3 @@
-// Package spills remembers for a while which chats are warm elsewhere than where they rank first.
+// Package spills tracks which chats have their prefix cached on another endpoint than the highest-ranked one for their
+// key.
 package spills
--- a/core/spills/table_test.go
+++ b/core/spills/table_test.go
@@ -12,16 +12,16 @@
 var start = time.Unix(1_000_000, 0)
 
 const (
-	high = 1 << 32
-	one  = 7 << 48
-	two  = 8 << 48
+	chatUnit    = 1 << 32
+	endpointOne = 7 << 48
+	endpointTwo = 8 << 48
 )
 
-// A peer that reads in pages, with the cursor of the page before, has every entry once.
-func TestPeerHasEveryEntry(t *testing.T) {
+// A peer that reads in pages, passing each cursor on to the next call, receives every entry exactly once.
+func TestPagedReadTransfersEveryEntryOnce(t *testing.T) {
 	var a, b spills.Table
 	for i := range uint64(100) {
-		a.Add(i*high, one, start)
+		a.Add(i*chatUnit, endpointOne, start)
 	}
 	cursor, pages := uint64(0), 0
 	for {
@@ -35,23 +35,24 @@
 	}
 	assert.Equal(t, pages, 4)
 	assert.Equal(t, b.Len(), 100)
-	e, ok := b.Find(42 * high)
-	assert.Assert(t, ok && spills.Names(e, one))
+	e, ok := b.Find(42 * chatUnit)
+	assert.Assert(t, ok && spills.Names(e, endpointOne))
 }
 
-// An entry ends with its life, the newest of one chat counts, and a cursor from before what is kept starts anew.
-func TestEntriesAge(t *testing.T) {
+// An entry expires after its TTL, a newer entry for the same chat replaces the older one, and a cursor from before the
+// retained entries starts at the oldest retained one.
+func TestEntriesExpire(t *testing.T) {
 	var a spills.Table
-	a.Add(1*high, one, start)
-	a.Add(1*high, two, start.Add(9*time.Minute))
-	a.Add(2*high, two, start.Add(11*time.Minute))
-	e, ok := a.Find(1 * high)
-	assert.Assert(t, ok && spills.Names(e, two))
-	a.Add(3*high, two, start.Add(30*time.Minute))
-	_, ok = a.Find(1 * high)
+	a.Add(1*chatUnit, endpointOne, start)
+	a.Add(1*chatUnit, endpointTwo, start.Add(9*time.Minute))
+	a.Add(2*chatUnit, endpointTwo, start.Add(11*time.Minute))
+	e, ok := a.Find(1 * chatUnit)
+	assert.Assert(t, ok && spills.Names(e, endpointTwo))
+	a.Add(3*chatUnit, endpointTwo, start.Add(30*time.Minute))
+	_, ok = a.Find(1 * chatUnit)
 	assert.Assert(t, !ok)
 	for i := range uint64(5000) {
-		a.Add(i*high, one, start.Add(31*time.Minute))
+		a.Add(i*chatUnit, endpointOne, start.Add(31*time.Minute))
 	}
 	data, next := a.Since(2, 10)
 	assert.Equal(t, len(data), 60)
