--- a/core/warmth/cache.go
+++ b/core/warmth/cache.go
@@ -4,45 +4,45 @@
 	"savoryfall/core/prompt"
 )
 
-// Cache is what one endpoint is believed to hold. What an engine evicts first is what was used least recently, so the
-// parts are kept in two generations: a part that is used moves to the young one, and when the young one is full the old
-// one is forgotten. That keeps the recently used without a list. The zero value is empty; it is not safe for concurrent
-// use.
+// Cache models which prompt parts an endpoint has in its prefix cache. Engines evict the least recently used parts
+// first, which is approximated with two generations: a part that is used goes into the recent one, and when that holds
+// half the capacity, it replaces the previous one. This keeps the recently used parts without an LRU list. The zero
+// value is empty; it is not safe for concurrent use.
 type Cache struct {
-	young, old  map[uint64]struct{}
-	youngTokens int
+	recent, previous map[uint64]struct{}
+	recentTokens     int
 }
 
-// Read notes that the endpoint has read the chain; capacity is how many tokens it keeps.
+// Read records that the endpoint has processed the chain; capacity is the size of its cache in tokens.
 func (c *Cache) Read(chain prompt.Chain, capacity int) {
 	for _, p := range chain {
-		c.use(p, capacity)
+		c.touch(p, capacity)
 	}
 }
 
-func (c *Cache) use(p prompt.Part, capacity int) {
-	if _, ok := c.young[p.ID]; ok {
+func (c *Cache) touch(p prompt.Part, capacity int) {
+	if _, ok := c.recent[p.ID]; ok {
 		return
 	}
-	if c.young == nil {
-		c.young = map[uint64]struct{}{}
+	if c.recent == nil {
+		c.recent = map[uint64]struct{}{}
 	}
-	c.young[p.ID] = struct{}{}
-	c.youngTokens += p.Tokens
-	if 2*c.youngTokens > capacity {
-		c.old, c.young, c.youngTokens = c.young, nil, 0
+	c.recent[p.ID] = struct{}{}
+	c.recentTokens += p.Tokens
+	if 2*c.recentTokens > capacity {
+		c.previous, c.recent, c.recentTokens = c.recent, nil, 0
 	}
 }
 
-// Warm is how many tokens of the chain, from its start, the endpoint is believed to hold.
+// Warm returns how many leading tokens of the chain the endpoint is expected to have cached.
 func (c *Cache) Warm(chain prompt.Chain) (tokens int) {
-	if len(c.young) == 0 && len(c.old) == 0 {
+	if len(c.recent) == 0 && len(c.previous) == 0 {
 		return 0
 	}
 	for _, p := range chain {
-		_, young := c.young[p.ID]
-		_, old := c.old[p.ID]
-		if !young && !old {
+		_, recent := c.recent[p.ID]
+		_, previous := c.previous[p.ID]
+		if !recent && !previous {
 			return tokens
 		}
 		tokens += p.Tokens
--- a/core/warmth/cache_test.go
+++ b/core/warmth/cache_test.go
@@ -16,8 +16,8 @@
 	return c
 }
 
-// A part is only worth something behind all parts before it.
-func TestWarmFromTheStart(t *testing.T) {
+// A cached part counts only if all parts before it are cached too.
+func TestOnlyALeadingRunIsCached(t *testing.T) {
 	var c warmth.Cache
 	assert.Equal(t, c.Warm(chain(1)), 0)
 	c.Read(chain(1, 2, 3), 10000)
@@ -25,8 +25,8 @@
 	assert.Equal(t, c.Warm(chain(9, 2, 3)), 0)
 }
 
-// What was used recently is kept when others are read; what was not is forgotten.
-func TestOldPartsAreForgotten(t *testing.T) {
+// Recently used parts are kept while others are read; parts that are not used are evicted.
+func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
 	var c warmth.Cache
 	c.Read(chain(1), 1000)
 	c.Read(chain(2), 1000)
--- a/core/warmth/doc.go
+++ b/core/warmth/doc.go
@@ -1,2 +1,2 @@
-// Package warmth remembers which parts of prompts an endpoint has read.
+// Package warmth models the prefix caches of endpoints: which prompt parts they have recently processed.
 package warmth
