--- a/core/tokens/doc.go
+++ b/core/tokens/doc.go
@@ -1,2 +1,2 @@
-// Package tokens learns online how many tokens an unmarked request still has to make.
+// Package tokens estimates online how many tokens a response still has to generate when the request doesn't say.
 package tokens
--- a/core/tokens/worth.go
+++ b/core/tokens/worth.go
@@ -2,31 +2,32 @@
 
 import "sync"
 
-// Worth learns how large the prompts of returning chats are, and ranks one among them; the zero value knows nothing.
+// Worth estimates the value of the cached prefix of a returning chat by the size of its prompt relative to the mean of
+// the pool. The zero value is empty.
 type Worth struct {
 	mu    sync.Mutex
 	means map[string]float64
 }
 
 const (
-	// worthSmoothing lets the mean follow a few hundred chats.
-	worthSmoothing = 0.01
-	// fullWorth is from how many times the mean a prompt counts as worth most.
-	fullWorth = 1.5
+	// meanSmoothing makes the mean follow the last few hundred chats.
+	meanSmoothing = 0.01
+	// fullValueRatio is the ratio to the mean size from which a prompt has the highest value.
+	fullValueRatio = 1.5
 )
 
-// Of takes the size of a returning chat's prompt, and tells what it is worth where it is cached: from 0 to 1.
+// Of adds the prompt size of a returning chat to the mean, and returns the value of its cached prefix, from 0 to 1.
 func (w *Worth) Of(pool string, size int) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.means == nil {
 		w.means = map[string]float64{}
 	}
-	mean, known := w.means[pool]
-	if !known {
+	mean, seen := w.means[pool]
+	if !seen {
 		mean = float64(size)
 	}
-	mean += worthSmoothing * (float64(size) - mean)
+	mean += meanSmoothing * (float64(size) - mean)
 	w.means[pool] = mean
-	return min(float64(size)/(fullWorth*mean), 1)
+	return min(float64(size)/(fullValueRatio*mean), 1)
 }
