--- a/core/chat/chat.go
+++ b/core/chat/chat.go
@@ -10,25 +10,25 @@
 	"savoryfall/core/annotate"
 )
 
-// Chat is a parsed chat completion request; the body stays as the caller sent it.
+// Chat is a parsed chat completion request; the body is kept as the client sent it.
 type Chat struct {
-	body      []byte
-	model     string
-	stream    bool
-	explicit  string
-	messages  []json.RawMessage
-	opening   int
-	returning bool
+	body          []byte
+	model         string
+	stream        bool
+	cacheKey      string
+	messages      []json.RawMessage
+	openingLength int
+	returning     bool
 }
 
-type request struct {
+type completionRequest struct {
 	Model    string            `json:"model"`
 	Stream   bool              `json:"stream"`
 	CacheKey string            `json:"prompt_cache_key"`
 	Messages []json.RawMessage `json:"messages"`
 }
 
-type turn struct {
+type message struct {
 	Role string `json:"role"`
 }
 
@@ -37,15 +37,15 @@
 	roleAssistant = "assistant"
 )
 
-// FieldError names the field of the request that is wrong.
+// FieldError reports an invalid field of the request.
 type FieldError struct{ Field, Problem string }
 
 func (e FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Parse reads a request body.
+// Parse parses a request body.
 func Parse(body []byte) (c *Chat, err error) {
 	defer annotate.Error(&err, "parse chat completion request")
-	var r request
+	var r completionRequest
 	err = json.Unmarshal(body, &r)
 	if err != nil {
 		return nil, FieldError{Field: "body", Problem: err.Error()}
@@ -58,66 +58,66 @@
 	}
 	c = &Chat{
 		body: body, model: r.Model, stream: r.Stream,
-		explicit: r.CacheKey, messages: r.Messages,
+		cacheKey: r.CacheKey, messages: r.Messages,
 	}
-	return c, c.readTurns()
+	return c, c.scanMessages()
 }
 
-func (c *Chat) readTurns() error {
+func (c *Chat) scanMessages() error {
 	for i, raw := range c.messages {
-		var t turn
-		if err := json.Unmarshal(raw, &t); err != nil {
+		var m message
+		if err := json.Unmarshal(raw, &m); err != nil {
 			return FieldError{Field: fmt.Sprintf("messages[%d]", i), Problem: err.Error()}
 		}
-		if t.Role == roleUser && c.opening == 0 {
-			c.opening = i + 1
+		if m.Role == roleUser && c.openingLength == 0 {
+			c.openingLength = i + 1
 		}
-		if t.Role == roleAssistant {
+		if m.Role == roleAssistant {
 			c.returning = true
 		}
 	}
-	if c.opening == 0 {
-		c.opening = len(c.messages)
+	if c.openingLength == 0 {
+		c.openingLength = len(c.messages)
 	}
 	return nil
 }
 
-// Body is the request as the caller sent it.
+// Body returns the request body as the client sent it.
 func (c *Chat) Body() []byte { return c.body }
 
-// Model is the model that the caller names.
+// Model returns the requested model.
 func (c *Chat) Model() string { return c.model }
 
-// Stream tells whether the answer is wanted as server-sent events.
+// Stream reports whether the client requested server-sent events.
 func (c *Chat) Stream() bool { return c.stream }
 
-// Messages are the messages as the caller sent them.
+// Messages returns the messages as the client sent them.
 func (c *Chat) Messages() []json.RawMessage { return c.messages }
 
-// Returning tells whether the chat has been answered before.
+// Returning reports whether the chat already contains an answer.
 func (c *Chat) Returning() bool { return c.returning }
 
-// Key places the chat. It hashes what does not change as a chat grows: the caller's own id, or the messages up to
-// and including the first of the user. The system prompt alone never is the key, because all chats of a client
-// account share it and would gather on one engine.
+// Key returns the routing hash of the chat, from what stays the same as the chat grows: the chat ID given by the
+// client, or the messages up to and including the first user message. The system prompt alone is never the key, because
+// all chats of a client account share it and would be routed to one engine.
 func (c *Chat) Key(account, chatID string) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(account + "\x00" + c.model + "\x00")
 	if chatID == "" {
-		chatID = c.explicit
+		chatID = c.cacheKey
 	}
 	if chatID != "" {
 		_, _ = h.WriteString(chatID)
 		return h.Sum64()
 	}
-	for _, raw := range c.messages[:c.opening] {
-		_, _ = h.Write(compacted(raw))
+	for _, raw := range c.messages[:c.openingLength] {
+		_, _ = h.Write(compactJSON(raw))
 		_, _ = h.WriteString("\x00")
 	}
 	return h.Sum64()
 }
 
-func compacted(raw json.RawMessage) []byte {
+func compactJSON(raw json.RawMessage) []byte {
 	var b bytes.Buffer
 	if json.Compact(&b, raw) != nil {
 		return raw
@@ -125,7 +125,7 @@
 	return b.Bytes()
 }
 
-// Resumed is the body that asks an engine to go on after the text that the caller has already.
+// Resumed returns a request body that asks an engine to continue after the text that the client has already received.
 func (c *Chat) Resumed(text string) (body []byte, err error) {
 	defer annotate.Error(&err, "write resumed request")
 	var fields map[string]json.RawMessage
--- a/core/chat/doc.go
+++ b/core/chat/doc.go
@@ -1,2 +1,2 @@
-// Package chat reads a chat completion request just far enough to place it.
+// Package chat parses a chat completion request just far enough to place it.
 package chat
