--- a/core/claim/book.go
+++ b/core/claim/book.go
@@ -7,21 +7,21 @@
 	"savoryfall/core/outcome"
 )
 
-// Book knows the claims within the window; every router that has read as far holds an equal one.
-// The zero value remembers nothing; make one with NewBook.
+// Book holds the claims made within the window, as read from the claim stream. All routers that have read up to the
+// same offset hold the same claims. The zero value has no window; create one with NewBook.
 type Book struct {
-	window time.Duration
-	next   int64
-	claims map[id]*claim
-	order  []aged
-	from   time.Time
+	window        time.Duration
+	next          int64
+	claims        map[claimID]*claim
+	insertions    []insertion
+	completeSince time.Time
 }
 
-type id struct{ account, key string }
+type claimID struct{ account, key string }
 
-type aged struct {
-	id id
-	at time.Time
+type insertion struct {
+	claimID claimID
+	at      time.Time
 }
 
 type claim struct {
@@ -33,13 +33,13 @@
 	result  Record
 }
 
-// Kinds of records on the stream of claims.
+// Kinds of records in the claim stream.
 const (
 	KindClaim   = "claim"
 	KindOutcome = "outcome"
 )
 
-// Record is one claim or one outcome; one record of the log holds a list of them.
+// Record is one claim or one outcome. A log record contains a list of them.
 type Record struct {
 	Kind        string          `json:"kind"`
 	Account     string          `json:"account"`
@@ -52,38 +52,40 @@
 	Body        []byte          `json:"body,omitempty"`
 }
 
-// Encode writes records as the data of one record of the log.
+// Encode encodes records as the data of one log record.
 func Encode(records []Record) []byte {
 	data, err := json.Marshal(records)
 	if err != nil {
-		panic("claim: records that JSON cannot hold: " + err.Error())
+		panic("claim: encode records as JSON: " + err.Error())
 	}
 	return data
 }
 
-// NewBook remembers keys for the window, measured between the times that the log gave its records.
+// NewBook returns a book that keeps keys for the window, measured by the timestamps that the log assigns to its
+// records.
 func NewBook(window time.Duration) *Book {
-	return &Book{window: window, claims: map[id]*claim{}}
+	return &Book{window: window, claims: map[claimID]*claim{}}
 }
 
-// Next is the offset of the first record that is not applied yet.
+// Next returns the offset of the first record that has not been applied.
 func (b *Book) Next() int64 { return b.next }
 
-// SkipTo starts at a later offset, because the log has trimmed the earlier ones; keys may have been claimed there.
-func (b *Book) SkipTo(offset int64, from time.Time) {
+// SkipTo continues at a later offset because the log has trimmed the records before it. Keys may have been claimed in
+// the skipped records, so the book is complete only from the given time on.
+func (b *Book) SkipTo(offset int64, completeSince time.Time) {
 	b.next = offset
-	b.from = from
+	b.completeSince = completeSince
 }
 
-// Covers tells whether every claim of the window before now was read.
+// Covers reports whether every claim within the window before now has been read.
 func (b *Book) Covers(now time.Time) bool {
-	return b.from.IsZero() || now.Sub(b.from) >= b.window
+	return b.completeSince.IsZero() || now.Sub(b.completeSince) >= b.window
 }
 
-// From is the time since which every claim was read; zero means since the first.
-func (b *Book) From() time.Time { return b.from }
+// From returns the time since which every claim has been read; zero means since the first record.
+func (b *Book) From() time.Time { return b.completeSince }
 
-// Apply takes the next record of the stream; one already applied changes nothing.
+// Apply applies the next record of the stream; a record that was already applied is ignored.
 func (b *Book) Apply(offset int64, at time.Time, data []byte) {
 	if offset < b.next {
 		return
@@ -100,27 +102,27 @@
 }
 
 func (b *Book) expire(now time.Time) {
-	for len(b.order) > 0 && now.Sub(b.order[0].at) > b.window {
-		old := b.order[0]
-		b.order = b.order[1:]
-		if c := b.claims[old.id]; c != nil && c.at.Equal(old.at) {
-			delete(b.claims, old.id)
+	for len(b.insertions) > 0 && now.Sub(b.insertions[0].at) > b.window {
+		oldest := b.insertions[0]
+		b.insertions = b.insertions[1:]
+		if c := b.claims[oldest.claimID]; c != nil && c.at.Equal(oldest.at) {
+			delete(b.claims, oldest.claimID)
 		}
 	}
 }
 
 func (b *Book) apply(offset int64, at time.Time, r Record) {
-	key := id{account: r.Account, key: r.Key}
+	key := claimID{account: r.Account, key: r.Key}
 	c := b.claims[key]
 	switch r.Kind {
 	case KindClaim:
-		// An attempt that has given its key back does not take it again: its claim was appended twice, because an answer
-		// was lost, and the second one landed late.
-		if c != nil && (!c.free() || c.attempt == r.Attempt) {
+		// An attempt that has released its key must not claim it again. Such a claim is a duplicate: its append was
+		// repeated because the first response was lost, and the second copy reached the log late.
+		if c != nil && (!c.claimable() || c.attempt == r.Attempt) {
 			return
 		}
 		b.claims[key] = &claim{attempt: r.Attempt, digest: r.Digest, offset: offset, at: at}
-		b.order = append(b.order, aged{id: key, at: at})
+		b.insertions = append(b.insertions, insertion{claimID: key, at: at})
 	case KindOutcome:
 		if c == nil || c.attempt != r.Attempt || c.settled {
 			return
@@ -129,34 +131,35 @@
 	}
 }
 
-// free tells whether the key may be claimed anew: only when its call is known not to have run. An open claim stays
-// taken even when its writer is gone, because nobody knows whether it had sent the call.
-func (c *claim) free() bool {
+// claimable reports whether the key may be claimed again, which requires that its call is known not to have run. An
+// unsettled claim stays taken even if its writer is gone, because it is unknown whether the call was sent.
+func (c *claim) claimable() bool {
 	return c.settled && c.result.Outcome == outcome.NotRun
 }
 
-// Standing is what the book says of one attempt's claim.
+// Standing is the status of one attempt's claim.
 type Standing string
 
-// The standings of a claim.
+// The statuses of a claim.
 const (
-	// Free means that nobody owns the key.
+	// Free means that the key is not claimed.
 	Free Standing = "free"
 	// Owner means that the attempt may send the call, once.
 	Owner Standing = "owner"
-	// Open means that another attempt owns the key, and its outcome is not known.
+	// Open means that another attempt owns the key and its outcome is not known yet.
 	Open Standing = "open"
-	// Settled means that the call has run, or may have; the record says what is known.
+	// Settled means that the call has run or may have run; the record holds what is known.
 	Settled Standing = "settled"
-	// Mismatch means that the key was claimed for another request.
+	// Mismatch means that the key was claimed for a different request.
 	Mismatch Standing = "mismatch"
 )
 
-// Stand tells how an attempt with that digest stands to the key, and the recorded outcome when there is one.
+// Stand returns the status of an attempt's claim to the key, for a request with the given digest, and the recorded
+// outcome if there is one.
 func (b *Book) Stand(account, key, attempt, digest string) (s Standing, result Record) {
-	c := b.claims[id{account: account, key: key}]
+	c := b.claims[claimID{account: account, key: key}]
 	switch {
-	case c == nil || c.free() && c.attempt != attempt:
+	case c == nil || c.claimable() && c.attempt != attempt:
 		return Free, Record{}
 	case c.digest != digest:
 		return Mismatch, Record{}
@@ -168,8 +171,8 @@
 	return Open, Record{}
 }
 
-// Len is how many keys are remembered.
+// Len returns the number of keys in the book.
 func (b *Book) Len() int { return len(b.claims) }
 
-// Window is how long a key is remembered.
+// Window returns how long a key is kept.
 func (b *Book) Window() time.Duration { return b.window }
--- a/core/claim/book_test.go
+++ b/core/claim/book_test.go
@@ -25,53 +25,54 @@
 	window    = time.Hour
 )
 
-// step is one thing that one claimant does; which one depends on how far it has come.
+// step is one action of one claimant; the claimant's stage determines which one.
 type step struct {
-	who  int
-	lost bool
-	fate outcome.Outcome
+	actor      int
+	appendLost bool
+	result     outcome.Outcome
 }
 
 func histories() *rapid.Generator[[]step] {
 	one := rapid.Custom(func(t *rapid.T) step {
 		return step{
-			who:  rapid.IntRange(0, claimants-1).Draw(t, "who"),
-			lost: rapid.IntRange(0, 4).Draw(t, "lost") == 0,
-			fate: rapid.SampledFrom([]outcome.Outcome{outcome.Ran, outcome.Unknown, outcome.NotRun}).Draw(t, "fate"),
+			actor:      rapid.IntRange(0, claimants-1).Draw(t, "actor"),
+			appendLost: rapid.IntRange(0, 4).Draw(t, "appendLost") == 0,
+			result:     rapid.SampledFrom([]outcome.Outcome{outcome.Ran, outcome.Unknown, outcome.NotRun}).Draw(t, "result"),
 		}
 	})
 	return rapid.SliceOfN(one, 1, 60)
 }
 
-// claimant goes through: append the claim, read back, send when it owns the key, append the outcome; then anew.
+// claimant cycles through these stages: append a claim, read it back and send the call if it owns the key, append the
+// outcome.
 type claimant struct {
 	stage   int
 	attempt int
 	key     string
-	fate    outcome.Outcome
+	result  outcome.Outcome
 }
 
-// run plays a history and counts how often the call of each key ran. Without readBack a claimant sends as soon as its
-// append was taken.
-func run(steps []step, readBack bool) (ran map[string]int) {
+// simulate runs a history and counts how often the call of each key ran. Without readBack, a claimant sends the call as
+// soon as its append succeeds.
+func simulate(steps []step, readBack bool) (ran map[string]int) {
 	book := claim.NewBook(window)
 	ran = map[string]int{}
 	offset := int64(0)
 	at := time.Unix(1_000_000, 0)
-	add := func(r claim.Record) {
+	appendRecord := func(r claim.Record) {
 		at = at.Add(time.Second)
 		book.Apply(offset, at, claim.Encode([]claim.Record{r}))
 		offset++
 	}
-	all := make([]claimant, claimants)
+	claimantStates := make([]claimant, claimants)
 	for _, s := range steps {
-		c := &all[s.who]
-		attempt := fmt.Sprintf("attempt-%d-%d", s.who, c.attempt)
+		c := &claimantStates[s.actor]
+		attempt := fmt.Sprintf("attempt-%d-%d", s.actor, c.attempt)
 		switch c.stage {
 		case 0:
-			c.key = fmt.Sprintf("key-%d", (s.who+c.attempt)%keys)
-			if !s.lost {
-				add(claim.Record{Kind: claim.KindClaim, Account: "a", Key: c.key, Attempt: attempt, Digest: "d"})
+			c.key = fmt.Sprintf("key-%d", (s.actor+c.attempt)%keys)
+			if !s.appendLost {
+				appendRecord(claim.Record{Kind: claim.KindClaim, Account: "a", Key: c.key, Attempt: attempt, Digest: "d"})
 			}
 			c.stage = 1
 		case 1:
@@ -80,14 +81,14 @@
 				c.stage, c.attempt = 0, c.attempt+1
 				continue
 			}
-			c.fate = s.fate
-			if c.fate != outcome.NotRun {
+			c.result = s.result
+			if c.result != outcome.NotRun {
 				ran[c.key]++
 			}
 			c.stage = 2
 		case 2:
-			if !s.lost {
-				add(claim.Record{Kind: claim.KindOutcome, Account: "a", Key: c.key, Attempt: attempt, Outcome: c.fate})
+			if !s.appendLost {
+				appendRecord(claim.Record{Kind: claim.KindOutcome, Account: "a", Key: c.key, Attempt: attempt, Outcome: c.result})
 			}
 			c.stage, c.attempt = 0, c.attempt+1
 		}
@@ -104,29 +105,31 @@
 	return false
 }
 
-// A claimed call runs at most once, in whatever order claimants, lost appends and outcomes come.
+// A claimed call runs at most once, whatever the order of claims, lost appends and outcomes.
 func TestClaimedCallRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ran := run(histories().Draw(t, "history"), true)
+		ran := simulate(histories().Draw(t, "history"), true)
 		if ranTwice(ran) {
 			t.Fatalf("ran %v", ran)
 		}
 	})
 }
 
-// A claimant that trusts its append and does not read the order of the log back is caught.
-func TestClaimWithoutReadBackIsCaught(t *testing.T) {
+// If claimants send right after the append, without reading back the order in the log, some history runs a call twice.
+// This shows that the property above can fail.
+func TestClaimWithoutReadBackRunsTwice(t *testing.T) {
 	caught := 0
 	for seed := range 200 {
-		if ran := run(histories().Example(seed), false); ranTwice(ran) {
+		if ran := simulate(histories().Example(seed), false); ranTwice(ran) {
 			caught++
 		}
 	}
 	assert.Assert(t, caught > 0)
 }
 
-// The caller that lost its claim may not send, and learns the outcome once it is recorded; another body is refused.
-func TestStandings(t *testing.T) {
+// An attempt that lost the claim may not send the call and sees the outcome once it is recorded. A request with another
+// digest is rejected.
+func TestClaimStatus(t *testing.T) {
 	b := claim.NewBook(window)
 	at := time.Unix(1_000_000, 0)
 	apply := func(offset int64, r claim.Record) { b.Apply(offset, at, claim.Encode([]claim.Record{r})) }
@@ -148,8 +151,8 @@
 	assert.Equal(t, result.Status, 201)
 }
 
-// After the window a key is forgotten; until it has passed, a book that starts late does not cover all keys.
-func TestWindow(t *testing.T) {
+// A key expires after the window. A book that starts late doesn't cover all keys until a full window has passed.
+func TestClaimsExpireAfterWindow(t *testing.T) {
 	b := claim.NewBook(window)
 	at := time.Unix(1_000_000, 0)
 	b.SkipTo(7, at)
--- a/core/claim/doc.go
+++ b/core/claim/doc.go
@@ -1,3 +1,3 @@
-// Package claim folds claims and outcomes in offset order, so that the order of the log decides
-// who may send a call.
+// Package claim applies claims and outcomes in log order, so that the order of the log decides which attempt may send a
+// call.
 package claim
--- a/core/claim/grant.go
+++ b/core/claim/grant.go
@@ -7,7 +7,7 @@
 	"savoryfall/core/outcome"
 )
 
-// Request is a call that may run at most once.
+// Request describes a call that may run at most once.
 type Request struct {
 	Account string
 	Key     string
@@ -16,19 +16,19 @@
 	Created time.Time
 }
 
-// Grant is the right to send the call once, until Expired.
+// Grant is the permission to send the call once, before Expires.
 type Grant struct {
 	Claim   Request
 	Offset  int64
 	Expires time.Time
-	// Recorded is set in place of the right to send when the call has run before.
+	// Recorded is set instead of granting the permission if the call has run before.
 	Recorded *Result
 }
 
-// Expired tells whether the right to send has lapsed, as after a pause of this process.
+// Expired reports whether the permission has lapsed, for example because this process was paused.
 func (g Grant) Expired(now time.Time) bool { return !now.Before(g.Expires) }
 
-// Result is how a claimed call ended.
+// Result is the outcome of a claimed call.
 type Result struct {
 	Outcome     outcome.Outcome
 	Status      int
@@ -36,7 +36,7 @@
 	Body        []byte
 }
 
-// RefusedError says that the call may not be sent, and what is known of it.
+// RefusedError reports that the call may not be sent, and what is known of its outcome.
 type RefusedError struct {
 	Status     int
 	Outcome    outcome.Outcome
