--- a/core/lease/doc.go
+++ b/core/lease/doc.go
@@ -1,3 +1,3 @@
-// Package lease folds leases in offset order, and says when a holder may act and a challenger may
-// take over.
+// Package lease applies lease records in log order, and decides when a holder may act and when a challenger may take
+// over.
 package lease
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -26,15 +26,16 @@
 	tick    = 500 * time.Millisecond
 )
 
-// history is what happens to two routers and the log, tick by tick.
+// history holds the events of a simulation of two routers and the log, per tick.
 type history struct {
-	// paused tells for each tick and router whether it stands still.
+	// paused reports for each tick and router whether the router is paused.
 	paused [][2]bool
-	// delay is how many ticks each append takes to land, and lag how many ticks each router reads behind.
+	// delay is the number of ticks until an append becomes visible, and lag how many ticks each router's reads are
+	// behind.
 	delay []int
 	lag   [2]int
-	// acts tells for each tick and router whether it wants to act, and how many ticks pass between its decision to
-	// act and the act, as in a pause at the worst moment.
+	// acts is, for each tick and router, the number of ticks between the decision to act and the action, as in a pause
+	// at the worst moment.
 	acts [][2]int
 }
 
@@ -57,71 +58,71 @@
 	})
 }
 
-type inFlight struct {
-	lands int
-	data  []byte
+type pendingAppend struct {
+	visibleAt int
+	data      []byte
 }
 
 type act struct {
-	who        int
+	router     int
 	begin, end time.Time
 }
 
-// run plays a history. With checked false an act relies on a check made some ticks earlier.
-func run(h history, checked bool) (acts []act) {
+// simulate runs a history. If checkBeforeActing is false, actions rely on a check made some ticks earlier.
+func simulate(h history, checkBeforeActing bool) (acts []act) {
 	start := time.Unix(1_000_000, 0)
 	var log [][]byte
-	var landing []inFlight
+	var pending []pendingAppend
 	var clocks [2]*lease.Clock
 	var tables [2]lease.Table
-	var decided [2]int
+	var actAt [2]int
 	for i := range clocks {
 		clocks[i] = lease.NewClock(fmt.Sprint("router", i), duty, lease.Terms{Term: term, Longest: longest})
-		decided[i] = -1
+		actAt[i] = -1
 	}
-	var lengths []int
+	var logLengths []int
 	for n := range h.paused {
 		now := start.Add(time.Duration(n) * tick)
-		landing = slices.DeleteFunc(landing, func(f inFlight) bool {
-			if f.lands <= n {
+		pending = slices.DeleteFunc(pending, func(f pendingAppend) bool {
+			if f.visibleAt <= n {
 				log = append(log, f.data)
 			}
-			return f.lands <= n
+			return f.visibleAt <= n
 		})
-		lengths = append(lengths, len(log))
+		logLengths = append(logLengths, len(log))
 		for i, c := range clocks {
 			if h.paused[n][i] {
 				continue
 			}
-			visible := lengths[max(n-h.lag[i], 0)]
+			visible := logLengths[max(n-h.lag[i], 0)]
 			for o := tables[i].Next(); o < int64(visible); o++ {
 				tables[i].Apply(o, log[o])
 			}
 			l, known := tables[i].Lease(duty)
 			c.Observe(l, known, now)
 			if r, ok := c.Wanted(now); ok {
-				landing = append(landing, inFlight{lands: n + h.delay[n], data: c.Appending(r, now).Encode()})
+				pending = append(pending, pendingAppend{visibleAt: n + h.delay[n], data: c.Appending(r, now).Encode()})
 			}
-			_, may := c.MayAct(now)
-			if checked && may {
-				acts = append(acts, act{who: i, begin: now, end: now.Add(longest)})
+			_, allowed := c.MayAct(now)
+			if checkBeforeActing && allowed {
+				acts = append(acts, act{router: i, begin: now, end: now.Add(longest)})
 			}
-			if !checked && decided[i] >= 0 && n >= decided[i] {
-				acts = append(acts, act{who: i, begin: now, end: now.Add(longest)})
-				decided[i] = -1
+			if !checkBeforeActing && actAt[i] >= 0 && n >= actAt[i] {
+				acts = append(acts, act{router: i, begin: now, end: now.Add(longest)})
+				actAt[i] = -1
 			}
-			if !checked && may && decided[i] < 0 {
-				decided[i] = n + h.acts[n][i]
+			if !checkBeforeActing && allowed && actAt[i] < 0 {
+				actAt[i] = n + h.acts[n][i]
 			}
 		}
 	}
 	return acts
 }
 
-func overlap(acts []act) bool {
+func overlapping(acts []act) bool {
 	for i, a := range acts {
 		for _, b := range acts[i+1:] {
-			if a.who != b.who && a.begin.Before(b.end) && b.begin.Before(a.end) {
+			if a.router != b.router && a.begin.Before(b.end) && b.begin.Before(a.end) {
 				return true
 			}
 		}
@@ -129,34 +130,35 @@
 	return false
 }
 
-// Two holders never act at once, whatever is paused, late, or lost for a while.
+// Two holders never act at the same time, whatever is paused or delayed.
 func TestTwoHoldersNeverActAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := histories().Draw(t, "history")
-		if overlap(run(h, true)) {
+		if overlapping(simulate(h, true)) {
 			t.Fatal("two holders acted at once")
 		}
 	})
 }
 
-// Without the check right before the act, the property above is broken, and the histories find that.
-func TestActingOnAnOldCheckIsCaught(t *testing.T) {
+// If the lease isn't checked right before the action, some history has overlapping actions. This shows that the
+// property above can fail.
+func TestActingOnAStaleCheckOverlaps(t *testing.T) {
 	caught := 0
 	for seed := range 300 {
-		if overlap(run(histories().Example(seed), false)) {
+		if overlapping(simulate(histories().Example(seed), false)) {
 			caught++
 		}
 	}
 	assert.Assert(t, caught > 0)
 }
 
-// Some history has both routers act, one after the other; else the property above would hold for nothing.
-func TestDutyChangesHands(t *testing.T) {
+// In some histories both routers act, one after the other; otherwise the property above would hold trivially.
+func TestBothRoutersActInSomeHistory(t *testing.T) {
 	both := 0
 	for seed := range 300 {
 		seen := map[int]bool{}
-		for _, a := range run(histories().Example(seed), true) {
-			seen[a.who] = true
+		for _, a := range simulate(histories().Example(seed), true) {
+			seen[a.router] = true
 		}
 		if len(seen) == 2 {
 			both++
@@ -165,7 +167,7 @@
 	assert.Assert(t, both > 0)
 }
 
-// Two routers that find the duty free append in the same instant; the order of the log gives it to the first only.
+// Two routers that find the lease free append at the same time; the log order gives it to the first one only.
 func TestFirstOfTwoChallengersWins(t *testing.T) {
 	var table lease.Table
 	for i, name := range []string{"a", "b"} {
@@ -177,9 +179,9 @@
 	assert.Equal(t, l.Fence, int64(0))
 }
 
-// A renewal is read late, while a newer one is under way. The term runs from the append of the one that was read: a
-// challenger may have read it long ago, and counts from then.
-func TestTermRunsFromTheRenewalThatLanded(t *testing.T) {
+// A renewal is read while a newer one is in flight. The term starts at the append of the one that was read, because a
+// challenger may have read it long ago and waits from then on.
+func TestTermStartsAtTheAppendThatWasRead(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1_000_000, 0).Add(time.Duration(s) * time.Second) }
 	c := lease.NewClock("a", duty, lease.Terms{Term: term, Longest: longest})
 	c.Observe(lease.Lease{}, false, at(0))
@@ -190,9 +192,9 @@
 	assert.Assert(t, ok)
 	older := c.Appending(renew, at(4))
 	c.Appending(renew, at(8))
-	c.Observe(lease.Lease{Holder: "a", Last: 1, Seq: older.Seq}, true, at(9))
-	_, may := c.MayAct(at(13))
-	assert.Assert(t, may)
-	_, may = c.MayAct(at(15))
-	assert.Assert(t, !may)
+	c.Observe(lease.Lease{Holder: "a", LastOffset: 1, Seq: older.Seq}, true, at(9))
+	_, allowed := c.MayAct(at(13))
+	assert.Assert(t, allowed)
+	_, allowed = c.MayAct(at(15))
+	assert.Assert(t, !allowed)
 }
--- a/core/lease/table.go
+++ b/core/lease/table.go
@@ -4,31 +4,31 @@
 	"encoding/json"
 )
 
-// Table is what the stream says of who holds which duty; routers that have read as far agree. The zero value has no
-// holders. No time stamp of the log is used: each router measures terms on its own clock.
+// Table holds the leases as read from the stream; routers that have read up to the same offset agree. The zero value is
+// empty. It uses no timestamps of the log, since each router measures terms by its own clock.
 type Table struct {
 	next   int64
-	duties map[string]Lease
+	leases map[string]Lease
 }
 
-// Lease is who holds a duty, under which fencing number, and the newest record about it.
+// Lease holds the holder of a duty, its fencing number, and the offset of the latest record about the duty.
 type Lease struct {
-	Holder string
-	Fence  int64
-	Last   int64
-	// Seq tells apart what its holder wrote.
+	Holder     string
+	Fence      int64
+	LastOffset int64
+	// Seq identifies the holder's record, so that the holder can match it to its append.
 	Seq int64
 }
 
-// Kinds of records on the stream of leases.
+// Kinds of records in the lease stream.
 const (
 	KindAcquire = "acquire"
 	KindRenew   = "renew"
 	KindRelease = "release"
 )
 
-// Record is one record of the stream. An acquisition names in After the newest record about the duty that its writer
-// had read, so that of two challengers only the first one wins.
+// Record is one record of the stream. An acquisition sets After to the offset of the latest record about the duty that
+// its writer had read, so that only the first of two challengers succeeds.
 type Record struct {
 	Kind   string `json:"kind"`
 	Duty   string `json:"duty"`
@@ -38,25 +38,25 @@
 	Seq    int64  `json:"seq"`
 }
 
-// NoRecord is After of the first acquisition of a duty.
+// NoRecord is the value of After in the first acquisition of a duty.
 const NoRecord = -1
 
-// Encode writes the record.
+// Encode encodes the record as JSON.
 func (r Record) Encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic("lease: a record that JSON cannot hold: " + err.Error())
+		panic("lease: encode record as JSON: " + err.Error())
 	}
 	return data
 }
 
-// Next is the offset of the first record that is not applied yet.
+// Next returns the offset of the first record that has not been applied.
 func (t *Table) Next() int64 { return t.next }
 
-// SkipTo goes on behind records that the log has trimmed.
+// SkipTo continues after records that the log has trimmed.
 func (t *Table) SkipTo(offset int64) { t.next = max(t.next, offset) }
 
-// Apply takes the next record; one already applied changes nothing.
+// Apply applies the next record; a record that was already applied is ignored.
 func (t *Table) Apply(offset int64, data []byte) {
 	if offset < t.next {
 		return
@@ -66,35 +66,35 @@
 	if json.Unmarshal(data, &r) != nil || r.Duty == "" {
 		return
 	}
-	if t.duties == nil {
-		t.duties = map[string]Lease{}
+	if t.leases == nil {
+		t.leases = map[string]Lease{}
 	}
 	t.apply(offset, r)
 }
 
 func (t *Table) apply(offset int64, r Record) {
-	l, known := t.duties[r.Duty]
+	l, known := t.leases[r.Duty]
 	switch r.Kind {
 	case KindAcquire:
-		if known && r.After != l.Last {
+		if known && r.After != l.LastOffset {
 			return
 		}
-		t.duties[r.Duty] = Lease{Holder: r.Holder, Fence: offset, Last: offset, Seq: r.Seq}
+		t.leases[r.Duty] = Lease{Holder: r.Holder, Fence: offset, LastOffset: offset, Seq: r.Seq}
 	case KindRenew:
-		// A renewal whose acquisition is trimmed tells who holds the duty.
+		// If the acquisition has been trimmed, the renewal establishes the holder.
 		if known && (l.Holder != r.Holder || l.Fence != r.Fence) {
 			return
 		}
-		t.duties[r.Duty] = Lease{Holder: r.Holder, Fence: r.Fence, Last: offset, Seq: r.Seq}
+		t.leases[r.Duty] = Lease{Holder: r.Holder, Fence: r.Fence, LastOffset: offset, Seq: r.Seq}
 	case KindRelease:
 		if known && l.Holder == r.Holder && l.Fence == r.Fence {
-			t.duties[r.Duty] = Lease{Fence: l.Fence, Last: offset}
+			t.leases[r.Duty] = Lease{Fence: l.Fence, LastOffset: offset}
 		}
 	}
 }
 
-// Lease is the state of a duty; known is false when no record was about it.
+// Lease returns the lease on a duty; known is false if no record about it has been read.
 func (t *Table) Lease(duty string) (l Lease, known bool) {
-	l, known = t.duties[duty]
+	l, known = t.leases[duty]
 	return l, known
 }
