--- a/core/health/doc.go
+++ b/core/health/doc.go
@@ -1,3 +1,2 @@
-// Package health decides which endpoints may take new work, from what was heard, what failed and
-// who is leaving.
+// Package health decides which endpoints may receive new requests, from their answers, failures and leaving marks.
 package health
--- a/core/health/table.go
+++ b/core/health/table.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Table keeps the health of every endpoint in force; the zero value knows none.
+// Table holds the health of every configured endpoint; the zero value has none.
 type Table struct {
-	mu sync.Mutex
-	by map[string]*health
+	mu        sync.Mutex
+	endpoints map[string]*endpointHealth
 }
 
-// health is what is known of one endpoint.
-type health struct {
+// endpointHealth is the state kept for one endpoint.
+type endpointHealth struct {
 	incarnation string
-	heardAt     time.Time
+	answeredAt  time.Time
 	upSince     time.Time
-	bornAt      time.Time
-	added       bool
+	startedAt   time.Time
+	addedLater  bool
 	failures    int
 	failedAt    time.Time
 	down        bool
 	flaps       int
 	dampedUntil time.Time
-	// leaving holds incarnations that are leaving. A mark is never taken back: an older "live" that arrives late
-	// would send new work to an endpoint that is about to stop. Only a new incarnation is free of it.
-	leaving map[string]bool
-	listed  bool
-	// unsure is set while the list shows a leaving mark that was there before any incarnation was heard: it may be of
-	// the one that is up or of its predecessor. It counts, but only as long as the list shows it.
-	unsure bool
+	// leaving is the set of incarnations that are leaving. A mark is never taken back, because a delayed older "live"
+	// would send new requests to an endpoint that is about to stop. Only a new incarnation starts without the mark.
+	leaving       map[string]bool
+	listedLeaving bool
+	// unattributedMark is set while the VM list shows a leaving mark that was there before any incarnation answered. It
+	// may belong to the running incarnation or to its predecessor, so it counts only while the list shows it.
+	unattributedMark bool
 }
 
-// State is whether an endpoint may take new work.
+// State determines whether an endpoint may receive new requests.
 type State string
 
 // The states of an endpoint.
@@ -45,36 +45,39 @@
 )
 
 const (
-	// softFailures in a row take an endpoint out of use; one alone may be the fault of the request.
-	softFailures = 3
-	// dampStep is the wait after the second return; each further flap doubles it up to dampMax.
+	// maxSoftFailures is how many consecutive soft failures mark an endpoint as down; a single one may be the fault of
+	// the request.
+	maxSoftFailures = 3
+	// dampStep is the hold-down time after the second return; each further flap doubles it, up to dampMax.
 	dampStep = 2 * time.Second
 	dampMax  = time.Minute
-	// calm is how long an endpoint must stay up until its flaps are forgotten.
-	calm = 2 * time.Minute
+	// flapReset is how long an endpoint must stay up before its flaps are forgotten.
+	flapReset = 2 * time.Minute
 )
 
-// Configure takes the names of the endpoints in force.
+// Configure sets the names of the configured endpoints.
 func (t *Table) Configure(names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// An endpoint of the first configuration that this router sees may have been up for long; a later one has just come.
-	old := t.by
-	t.by = map[string]*health{}
+	// Endpoints of the first configuration that this router sees may have been up for long; those added later have
+	// recently started.
+	previous := t.endpoints
+	t.endpoints = map[string]*endpointHealth{}
 	for _, name := range names {
-		t.by[name] = old[name]
-		if t.by[name] == nil {
-			t.by[name] = &health{leaving: map[string]bool{}, added: len(old) > 0}
+		t.endpoints[name] = previous[name]
+		if t.endpoints[name] == nil {
+			t.endpoints[name] = &endpointHealth{leaving: map[string]bool{}, addedLater: len(previous) > 0}
 		}
 	}
 }
 
-// Heard says that an endpoint has answered what it was asked then, under which incarnation, and whether it said that it
-// is leaving. It returns whether this is another incarnation than before, whose cache is empty.
+// Heard records that an endpoint answered a request sent at the time asked, with the incarnation in its answer and
+// whether it said that it is leaving. It returns whether the incarnation has changed, in which case the endpoint's
+// cache is empty.
 func (t *Table) Heard(name, incarnation string, leaving bool, asked time.Time) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[name]
+	h := t.endpoints[name]
 	if h == nil {
 		return false
 	}
@@ -86,22 +89,22 @@
 		return false
 	}
 	if restarted || h.down {
-		h.returned(asked)
+		h.recordReturn(asked)
 	}
-	if restarted || h.incarnation == "" && incarnation != "" && h.added {
-		h.bornAt = asked
+	if restarted || h.incarnation == "" && incarnation != "" && h.addedLater {
+		h.startedAt = asked
 	}
 	if incarnation != "" {
 		h.incarnation = incarnation
 	}
-	h.heardAt, h.down, h.failures = asked, false, 0
+	h.answeredAt, h.down, h.failures = asked, false, 0
 	return restarted
 }
 
-// returned damps an endpoint that comes back again and again: each return with an empty cache pulls chats away
-// from where they are warm, and the next fall loses them once more.
-func (h *health) returned(now time.Time) {
-	if now.Sub(h.upSince) > calm {
+// recordReturn damps an endpoint that keeps going down and up: each return with an empty cache draws chats away from
+// the endpoints that have their prefix cached, and the next failure moves them again.
+func (h *endpointHealth) recordReturn(now time.Time) {
+	if now.Sub(h.upSince) > flapReset {
 		h.flaps = 0
 	}
 	h.flaps++
@@ -113,74 +116,74 @@
 	h.dampedUntil = now.Add(wait)
 }
 
-// Failed says that an attempt or a probe failed; a hard failure, such as a refused connection, counts at once. What the
-// endpoint answers to something that it was asked before does not bring it back: the answer may be older than the failure,
-// and a router that sends nothing there would believe for good that a dead endpoint lives.
+// Failed records a failed request or probe. A hard failure, such as a refused connection, marks the endpoint as down at
+// once. An answer to a request sent before the failure doesn't bring the endpoint back: the answer may be older than
+// the failure, and a router that sends no requests there would consider a dead endpoint up forever.
 func (t *Table) Failed(name string, hard bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[name]
+	h := t.endpoints[name]
 	if h == nil {
 		return
 	}
 	h.failures++
 	h.failedAt = now
-	if hard || h.failures >= softFailures {
+	if hard || h.failures >= maxSoftFailures {
 		h.down = true
 	}
 }
 
-// MarkLeaving says that an incarnation is leaving; an empty one means the one known now. It returns whether that
-// was news.
-func (t *Table) MarkLeaving(name, incarnation string) (news bool) {
+// MarkLeaving marks an incarnation as leaving; an empty one stands for the current incarnation. It returns whether the
+// mark is new.
+func (t *Table) MarkLeaving(name, incarnation string) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[name]
+	h := t.endpoints[name]
 	if h == nil {
 		return false
 	}
 	if incarnation == "" {
 		incarnation = h.incarnation
 	}
-	news = !h.leaving[incarnation]
+	changed = !h.leaving[incarnation]
 	h.leaving[incarnation] = true
-	return news
+	return changed
 }
 
-// Listed says whether the VM list shows the endpoint as leaving. Only the change to leaving counts: the list lags,
-// and may go on showing the mark after a new incarnation has come.
+// Listed records whether the VM list shows the endpoint as leaving. Only the change to leaving counts, because the list
+// is delayed and may still show the mark when a new incarnation is up.
 func (t *Table) Listed(name string, leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[name]
+	h := t.endpoints[name]
 	if h == nil {
 		return
 	}
 	switch {
 	case leaving && h.incarnation == "":
-		h.unsure = true
-	case leaving && !h.listed:
+		h.unattributedMark = true
+	case leaving && !h.listedLeaving:
 		h.leaving[h.incarnation] = true
 	case !leaving:
-		h.unsure = false
+		h.unattributedMark = false
 	}
-	h.listed = leaving
+	h.listedLeaving = leaving
 }
 
-// State tells whether the endpoint may take new work.
+// State returns the current state of the endpoint.
 func (t *Table) State(name string, now time.Time) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[name]
+	h := t.endpoints[name]
 	if h == nil {
 		return Down
 	}
 	return h.state(now)
 }
 
-func (h *health) state(now time.Time) State {
+func (h *endpointHealth) state(now time.Time) State {
 	switch {
-	case h.leaving[h.incarnation] || h.unsure:
+	case h.leaving[h.incarnation] || h.unattributedMark:
 		return Leaving
 	case h.down:
 		return Down
@@ -190,38 +193,38 @@
 	return Up
 }
 
-// Young tells whether the endpoint has come within the time before now, with an empty cache.
+// Young reports whether the endpoint started, with an empty cache, within the given time before now.
 func (t *Table) Young(name string, within time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[name]
-	return h != nil && !h.bornAt.IsZero() && now.Sub(h.bornAt) < within
+	h := t.endpoints[name]
+	return h != nil && !h.startedAt.IsZero() && now.Sub(h.startedAt) < within
 }
 
-// Incarnation is the one that answered last, or empty.
+// Incarnation returns the incarnation that answered last, or an empty string.
 func (t *Table) Incarnation(name string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if h := t.by[name]; h != nil {
+	if h := t.endpoints[name]; h != nil {
 		return h.incarnation
 	}
 	return ""
 }
 
-// HeardAt is when the endpoint answered last.
+// HeardAt returns when the request that the endpoint answered last was sent.
 func (t *Table) HeardAt(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if h := t.by[name]; h != nil {
-		return h.heardAt
+	if h := t.endpoints[name]; h != nil {
+		return h.answeredAt
 	}
 	return time.Time{}
 }
 
-// Marked tells whether it is sure that the incarnation known now is leaving, so that others may be told.
+// Marked reports whether the current incarnation is known to be leaving, so that the mark may be passed on to peers.
 func (t *Table) Marked(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[name]
+	h := t.endpoints[name]
 	return h != nil && h.leaving[h.incarnation]
 }
--- a/core/health/table_test.go
+++ b/core/health/table_test.go
@@ -18,8 +18,9 @@
 	return t
 }
 
-// A late "live" of the VM list or of a report does not bring back an incarnation that is leaving; a new one is free.
-func TestLeavingMarkOnlyMovesForward(t *testing.T) {
+// A delayed "live" from the VM list or a report doesn't clear the leaving mark of an incarnation; a new incarnation has
+// no mark.
+func TestLeavingMarkIsNotTakenBack(t *testing.T) {
 	h := table()
 	assert.Assert(t, h.MarkLeaving("e", "one"))
 	assert.Assert(t, !h.MarkLeaving("e", "one"))
@@ -32,8 +33,8 @@
 	assert.Equal(t, h.State("e", start.Add(2*time.Second)), health.Up)
 }
 
-// The VM list goes on showing the old mark when the new incarnation is up already; only its change counts.
-func TestLaggingListDoesNotMarkTheSuccessor(t *testing.T) {
+// The VM list still shows the old mark when the new incarnation is already up; only a change of the mark counts.
+func TestDelayedListDoesNotMarkTheNextIncarnation(t *testing.T) {
 	h := table()
 	h.Listed("e", true)
 	assert.Equal(t, h.State("e", start), health.Leaving)
@@ -42,7 +43,8 @@
 	assert.Equal(t, h.State("e", start.Add(time.Second)), health.Up)
 }
 
-// A refused connection takes an endpoint out at once, odd failures only in a row; an answer brings it back.
+// A refused connection marks an endpoint as down at once, soft failures only when consecutive; an answer brings it
+// back.
 func TestFailures(t *testing.T) {
 	h := table()
 	h.Failed("e", false, start)
@@ -56,9 +58,9 @@
 	assert.Equal(t, h.State("e", start.Add(time.Second)), health.Down)
 }
 
-// A request and a refused connection cross: what the endpoint answered before it was killed is read after the refusal. It
-// stays down until it answers what it is asked later.
-func TestOldAnswerDoesNotBringBackAKilledEndpoint(t *testing.T) {
+// An endpoint answers and is then killed, and its answer is read after a connection was refused. The endpoint must stay
+// down until it answers a request sent after the refusal.
+func TestAnswerToEarlierRequestDoesNotRevive(t *testing.T) {
 	h := table()
 	h.Failed("e", true, start.Add(2*time.Second))
 	h.Heard("e", "one", false, start.Add(time.Second))
@@ -67,10 +69,11 @@
 	assert.Equal(t, h.State("e", start.Add(3*time.Second)), health.Up)
 }
 
-// An endpoint that flaps every 20 s is held back longer with each return, and is forgiven after a calm.
+// An endpoint that flaps every 20 s is damped for longer with each return; its flaps are forgotten after it has stayed
+// up.
 func TestFlapsAreDamped(t *testing.T) {
 	h := table()
-	held := []time.Duration{}
+	dampedFor := []time.Duration{}
 	now := start
 	for range 4 {
 		now = now.Add(20 * time.Second)
@@ -80,18 +83,18 @@
 		for h.State("e", now.Add(wait)) == health.Damped {
 			wait += time.Second
 		}
-		held = append(held, wait)
+		dampedFor = append(dampedFor, wait)
 	}
-	assert.DeepEqual(t, held, []time.Duration{0, 2 * time.Second, 4 * time.Second, 8 * time.Second})
+	assert.DeepEqual(t, dampedFor, []time.Duration{0, 2 * time.Second, 4 * time.Second, 8 * time.Second})
 	now = now.Add(10 * time.Minute)
 	h.Failed("e", true, now)
 	h.Heard("e", "one", false, now)
 	assert.Equal(t, h.State("e", now), health.Up)
 }
 
-// A router that starts while the list shows a leaving mark does not know whose it is: it sends nothing there as long
-// as the list shows the mark, tells nobody, and is free to when the list has caught up.
-func TestMarkFoundAtTheStartCountsWhileItIsListed(t *testing.T) {
+// A router that starts while the list shows a leaving mark can't tell which incarnation it belongs to. It sends no
+// requests there while the list shows the mark, doesn't pass the mark on, and uses the endpoint once the mark is gone.
+func TestUnattributedMarkCountsWhileListed(t *testing.T) {
 	h := &health.Table{}
 	h.Configure([]string{"e"})
 	h.Listed("e", true)
@@ -102,9 +105,9 @@
 	assert.Equal(t, h.State("e", start), health.Up)
 }
 
-// A router has just started and has not heard its endpoints yet when a note arrives that adds one. Only that one is
-// young when they are heard; the others may have been up for long, and chats are warm there.
-func TestOnlyAddedEndpointsAreYoung(t *testing.T) {
+// A configuration change adds an endpoint just after a router has started, before it has heard from any endpoint. Only
+// the added endpoint counts as recently started; the others may have been up for long and have prefixes cached.
+func TestOnlyAddedEndpointsHaveRecentlyStarted(t *testing.T) {
 	h := &health.Table{}
 	h.Configure(nil)
 	h.Configure([]string{"old"})
