--- a/core/membership/doc.go
+++ b/core/membership/doc.go
@@ -1,3 +1,2 @@
-// Package membership decides which routers are alive, from the VM list, from what was heard and
-// from rumours.
+// Package membership decides which routers are alive, from the VM list, direct contact and gossip.
 package membership
--- a/core/membership/table.go
+++ b/core/membership/table.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is believed of a member; for one incarnation a later state outranks an earlier one.
+// State is the believed state of a member. Within one incarnation, a higher state overrides a lower one.
 type State uint8
 
-// The states of a member, in rising rank.
+// The states of a member, in increasing precedence.
 const (
 	Alive State = iota
 	Suspect
@@ -24,7 +24,7 @@
 	return [...]string{"alive", "suspect", "dead", "leaving"}[min(s, Leaving)]
 }
 
-// Rumour is what routers tell each other of a member.
+// Rumour is a gossip update about one member.
 type Rumour struct {
 	Name          string
 	Address       string
@@ -33,60 +33,60 @@
 	State         State
 }
 
-// Table keeps the members as one router sees them; make one with New.
+// Table holds one router's view of the members; create one with New.
 type Table struct {
-	mu        sync.Mutex
-	self      Rumour
-	suspicion time.Duration
-	members   map[string]*member
-	fresh     map[string]int
+	mu               sync.Mutex
+	self             Rumour
+	suspicionTimeout time.Duration
+	members          map[string]*member
+	retransmits      map[string]int
 }
 
 type member struct {
 	Rumour
-	heard  time.Time
-	since  time.Time
-	listed bool
+	lastHeard  time.Time
+	stateSince time.Time
+	listed     bool
 }
 
 const (
-	// unlistedLife is how long a member counts that the VM list does not show and nobody hears.
-	unlistedLife = 10 * time.Second
-	// spreadFactor times the logarithm of the fleet is how often a rumour is passed on.
-	spreadFactor = 3
+	// unlistedTTL is how long a member is kept that is neither on the VM list nor heard from.
+	unlistedTTL = 10 * time.Second
+	// retransmitFactor times the logarithm of the number of members is how often an update is passed on.
+	retransmitFactor = 3
 )
 
-// New makes the table of the router self; a suspected member is taken for dead after suspicion.
-func New(self Rumour, suspicion time.Duration) *Table {
-	t := &Table{self: self, suspicion: suspicion, members: map[string]*member{}, fresh: map[string]int{}}
-	t.fresh[self.Name] = t.spread()
+// New returns the table of the router self. A suspected member is declared dead after suspicionTimeout.
+func New(self Rumour, suspicionTimeout time.Duration) *Table {
+	t := &Table{self: self, suspicionTimeout: suspicionTimeout, members: map[string]*member{}, retransmits: map[string]int{}}
+	t.retransmits[self.Name] = t.retransmitLimit()
 	return t
 }
 
-// Self is what this router says of itself.
+// Self returns this router's own state.
 func (t *Table) Self() Rumour {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// ListensOn sets the address that this router tells others, which is known only once it listens.
+// ListensOn sets the address that this router announces, which is known only once it listens.
 func (t *Table) ListensOn(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.Address = address
 }
 
-// Leave marks this router itself as leaving, and has the rumour spread.
+// Leave marks this router as leaving and gossips the update.
 func (t *Table) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = Leaving
-	t.fresh[t.self.Name] = t.spread()
+	t.retransmits[t.self.Name] = t.retransmitLimit()
 }
 
-// Listed takes the routers on the VM list. The list lags: a member that it lacks stays while it is heard, and one
-// that it shows is believed until direct evidence speaks against it.
+// Listed records the routers on the VM list. The list is delayed: a member that is missing from it is kept while it is
+// heard from, and a member on it is assumed alive until direct evidence shows otherwise.
 func (t *Table) Listed(routers []Rumour, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,7 +99,7 @@
 		}
 		m := t.members[r.Name]
 		if m == nil {
-			m = &member{Rumour: r, heard: now, since: now}
+			m = &member{Rumour: r, lastHeard: now, stateSince: now}
 			t.members[r.Name] = m
 		}
 		m.listed = true
@@ -107,13 +107,13 @@
 			m.Address, m.FailureDomain = r.Address, r.FailureDomain
 		}
 		if r.State == Leaving && m.State != Leaving {
-			t.set(m, Leaving, now)
+			t.setState(m, Leaving, now)
 		}
 	}
 }
 
-// Heard takes what a member itself has said; a member that neither the VM list nor a rumour has named yet has no
-// known address, and is left for them to name.
+// Heard records direct contact with a member. A member that neither the VM list nor gossip has named yet has no known
+// address, and is ignored until one of them names it.
 func (t *Table) Heard(r Rumour, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,38 +124,38 @@
 	if m == nil {
 		return
 	}
-	m.heard = now
+	m.lastHeard = now
 	t.merge(m, r, now)
-	// A member that is heard lives, whatever was rumoured of this incarnation; only its own word that it is leaving
-	// stands.
+	// A member that is heard from is alive, whatever was gossiped about this incarnation. Only its own announcement
+	// that it is leaving is kept.
 	if m.State == Suspect || m.State == Dead {
-		t.set(m, Alive, now)
+		t.setState(m, Alive, now)
 	}
 }
 
-// Vouched takes that another router has just heard the member, which this one cannot reach.
+// Vouched records that another router has just reached the member, although this one can't.
 func (t *Table) Vouched(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.members[name]; m != nil {
-		m.heard = now
+		m.lastHeard = now
 		if m.State == Suspect || m.State == Dead {
-			t.set(m, Alive, now)
+			t.setState(m, Alive, now)
 		}
 	}
 }
 
-// Missed takes that the member answered neither this router nor those that were asked to try.
+// Missed records that the member answered neither this router nor the routers asked to probe it.
 func (t *Table) Missed(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.members[name]; m != nil && m.State == Alive {
-		t.set(m, Suspect, now)
+		t.setState(m, Suspect, now)
 	}
 }
 
-// Rumours merges what a peer believes. A rumour that this router itself is gone is refuted by a higher incarnation,
-// which outranks it everywhere.
+// Rumours merges the updates of a peer. If one says that this router isn't alive, this router refutes it with a higher
+// incarnation, which overrides the update everywhere.
 func (t *Table) Rumours(rumours []Rumour, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,8 +167,8 @@
 		m := t.members[r.Name]
 		if m == nil {
 			if r.State == Alive {
-				t.members[r.Name] = &member{Rumour: r, heard: now, since: now}
-				t.fresh[r.Name] = t.spread()
+				t.members[r.Name] = &member{Rumour: r, lastHeard: now, stateSince: now}
+				t.retransmits[r.Name] = t.retransmitLimit()
 			}
 			continue
 		}
@@ -181,10 +181,11 @@
 		return
 	}
 	t.self.Incarnation = r.Incarnation + 1
-	t.fresh[t.self.Name] = t.spread()
+	t.retransmits[t.self.Name] = t.retransmitLimit()
 }
 
-// merge lets a higher incarnation win, and within one the higher rank, so that the order of arrival does not matter.
+// merge prefers the higher incarnation, and within one incarnation the higher state, so that the order of arrival
+// doesn't matter.
 func (t *Table) merge(m *member, r Rumour, now time.Time) {
 	if r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.State <= m.State {
 		return
@@ -193,58 +194,58 @@
 	if r.Address != "" {
 		m.Address, m.FailureDomain = r.Address, r.FailureDomain
 	}
-	// That a member which is alive has a higher incarnation is no news worth spreading: each hears it from the member
-	// itself. Passed on by all about all, it filled the messages of a starting fleet for minutes.
+	// A higher incarnation of an alive member is not passed on, since every router learns it from the member itself.
+	// When all routers passed it on about all others, it filled the messages of a starting fleet for minutes.
 	if m.State == Alive && r.State == Alive {
 		return
 	}
-	t.set(m, r.State, now)
+	t.setState(m, r.State, now)
 }
 
-func (t *Table) set(m *member, s State, now time.Time) {
+func (t *Table) setState(m *member, s State, now time.Time) {
 	m.State = s
-	m.since = now
-	t.fresh[m.Name] = t.spread()
+	m.stateSince = now
+	t.retransmits[m.Name] = t.retransmitLimit()
 }
 
-func (t *Table) spread() (times int) {
+func (t *Table) retransmitLimit() (limit int) {
 	for n := len(t.members) + 1; n > 0; n /= 2 {
-		times += spreadFactor
+		limit += retransmitFactor
 	}
-	return times
+	return limit
 }
 
-// Sweep turns suspects that nobody vouched for into dead ones, and forgets those that are gone for good; it returns
-// the names of those that died now.
+// Sweep declares suspects dead after the suspicion timeout, and removes unlisted members that haven't been heard from.
+// It returns the names of the members just declared dead.
 func (t *Table) Sweep(now time.Time) (died []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(t.members)) {
 		m := t.members[name]
-		if m.State == Suspect && now.Sub(m.since) >= t.suspicion {
-			t.set(m, Dead, now)
+		if m.State == Suspect && now.Sub(m.stateSince) >= t.suspicionTimeout {
+			t.setState(m, Dead, now)
 			died = append(died, name)
 		}
-		if !m.listed && now.Sub(m.heard) > unlistedLife {
+		if !m.listed && now.Sub(m.lastHeard) > unlistedTTL {
 			delete(t.members, name)
-			delete(t.fresh, name)
+			delete(t.retransmits, name)
 		}
 	}
 	return died
 }
 
-// Gossip are the rumours to pass on now, at most max; each is passed on a few times only.
+// Gossip returns the updates to send now, at most max; each is sent a limited number of times.
 func (t *Table) Gossip(max int) (rumours []Rumour) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(t.fresh)) {
+	for _, name := range slices.Sorted(maps.Keys(t.retransmits)) {
 		if len(rumours) == max {
 			break
 		}
 		rumours = append(rumours, t.rumour(name))
-		t.fresh[name]--
-		if t.fresh[name] <= 0 {
-			delete(t.fresh, name)
+		t.retransmits[name]--
+		if t.retransmits[name] <= 0 {
+			delete(t.retransmits, name)
 		}
 	}
 	return rumours
@@ -257,7 +258,7 @@
 	return t.members[name].Rumour
 }
 
-// Peer is a member as it is used, or as people are shown it.
+// Peer is the state of another member as used by callers and shown to operators.
 type Peer struct {
 	Name          string    `json:"name"`
 	Address       string    `json:"address"`
@@ -267,7 +268,7 @@
 	Heard         time.Time `json:"heard"`
 }
 
-// Peers are all other members, sorted by name.
+// Peers returns all other members, sorted by name.
 func (t *Table) Peers() (peers []Peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -275,20 +276,22 @@
 		m := t.members[name]
 		peers = append(peers, Peer{
 			Name: name, Address: m.Address, FailureDomain: m.FailureDomain, Incarnation: m.Incarnation,
-			State: m.State.String(), Heard: m.heard,
+			State: m.State.String(), Heard: m.lastHeard,
 		})
 	}
 	return peers
 }
 
-// Duty names the member that does a duty, so that all do not; two may think they do while their views differ.
+// Duty returns the member assigned to a duty, so that not all members perform it. Two members may both consider
+// themselves assigned while their views differ.
 func (t *Table) Duty(duty string) (name string) {
-	holders := t.Holders(duty, 1)
-	return holders[0]
+	assignees := t.Assignees(duty, 1)
+	return assignees[0]
 }
 
-// Holders names the n members that share a duty, by rendezvous hashing; this router counts as alive to itself.
-func (t *Table) Holders(duty string, n int) (names []string) {
+// Assignees returns the n members that share a duty, by rendezvous hashing over the alive and suspect members. This
+// router counts itself unless it is leaving, and also if nobody else is left.
+func (t *Table) Assignees(duty string, n int) (names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	type ranked struct {
@@ -320,12 +323,12 @@
 	return names
 }
 
-// Mine tells whether this router is among the n holders of the duty.
+// Mine reports whether this router is among the n members assigned to the duty.
 func (t *Table) Mine(duty string, n int) bool {
-	return slices.Contains(t.Holders(duty, n), t.Self().Name)
+	return slices.Contains(t.Assignees(duty, n), t.Self().Name)
 }
 
-// Count is how many members serve, this router among them.
+// Count returns the number of serving members, including this router.
 func (t *Table) Count() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/membership/table_test.go
+++ b/core/membership/table_test.go
@@ -50,14 +50,14 @@
 	return rapid.SliceOfN(one, 0, 20)
 }
 
-// Two routers that have heard the same rumours believe the same, in whatever order and however often they came.
+// Two routers that receive the same updates reach the same view, whatever the order and number of deliveries.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := rumours().Draw(t, "rumours")
-		shuffled := rapid.Permutation(list).Draw(t, "shuffled")
+		updates := rumours().Draw(t, "rumours")
+		shuffled := rapid.Permutation(updates).Draw(t, "shuffled")
 		a, b := table("a", "r0", "r1", "r2"), table("b", "r0", "r1", "r2")
-		a.Rumours(list, start)
-		b.Rumours(append(shuffled, list...), start)
+		a.Rumours(updates, start)
+		b.Rumours(append(shuffled, updates...), start)
 		for _, name := range []string{"r0", "r1", "r2"} {
 			if state(a, name) != state(b, name) {
 				t.Fatalf("%s is %s here and %s there", name, state(a, name), state(b, name))
@@ -66,27 +66,28 @@
 	})
 }
 
-// A merge that takes the latest arrival, without regard to incarnations, is caught.
-func TestMergeByArrivalIsCaught(t *testing.T) {
-	caught := 0
+// A merge that takes the latest arrival, ignoring incarnations, gives different results for different orders. This
+// shows that the property above can fail.
+func TestMergeByArrivalDependsOnOrder(t *testing.T) {
+	differing := 0
 	for seed := range 100 {
-		list := rumours().Example(seed)
+		updates := rumours().Example(seed)
 		latest, reversed := map[string]membership.State{}, map[string]membership.State{}
-		for i := range list {
-			latest[list[i].Name] = list[i].State
-			reversed[list[len(list)-1-i].Name] = list[len(list)-1-i].State
+		for i := range updates {
+			latest[updates[i].Name] = updates[i].State
+			reversed[updates[len(updates)-1-i].Name] = updates[len(updates)-1-i].State
 		}
 		for name := range latest {
 			if latest[name] != reversed[name] {
-				caught++
+				differing++
 			}
 		}
 	}
-	assert.Assert(t, caught > 0)
+	assert.Assert(t, differing > 0)
 }
 
-// A leaving mark of an incarnation is never taken back by an older "alive" that arrives late, or by a suspicion.
-func TestLeavingNeverGoesBack(t *testing.T) {
+// The leaving mark of an incarnation isn't taken back by a delayed older "alive" or by a suspicion.
+func TestLeavingIsNotTakenBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := table("a", "r0", "r1", "r2")
 		a.Rumours([]membership.Rumour{{Name: "r0", Incarnation: 4, State: membership.Leaving}}, start)
@@ -97,7 +98,8 @@
 	})
 }
 
-// A silent router is dead after the suspicion; one that another router vouches for is not, as behind a cut.
+// A silent router is declared dead after the suspicion timeout. One that another router has reached, as in a partition,
+// is not.
 func TestSuspicion(t *testing.T) {
 	a := table("a", "b", "c")
 	a.Missed("b", start)
@@ -110,7 +112,7 @@
 	assert.Equal(t, state(a, "b"), "alive")
 }
 
-// A router that hears it is taken for dead outranks the rumour by a higher incarnation.
+// A router that learns that it is considered dead overrides the update with a higher incarnation.
 func TestRefutation(t *testing.T) {
 	a, b := table("a", "b"), table("b", "a")
 	dead := membership.Rumour{Name: "a", Incarnation: 1, State: membership.Dead}
@@ -121,8 +123,8 @@
 	assert.Equal(t, state(b, "a"), "alive")
 }
 
-// Duties move only from the one that is gone.
-func TestDutiesMoveOnlyFromTheDead(t *testing.T) {
+// Only the duties of a dead member move.
+func TestDutiesMoveOnlyFromDeadMembers(t *testing.T) {
 	a := table("a", "b", "c", "d")
 	before := map[string]string{}
 	for i := range 40 {
@@ -130,9 +132,9 @@
 		before[d] = a.Duty(d)
 	}
 	a.Rumours([]membership.Rumour{{Name: "c", Incarnation: 1, State: membership.Dead}}, start)
-	for d, holder := range before {
-		if holder != "c" {
-			assert.Equal(t, a.Duty(d), holder)
+	for d, assignee := range before {
+		if assignee != "c" {
+			assert.Equal(t, a.Duty(d), assignee)
 		} else {
 			assert.Assert(t, a.Duty(d) != "c")
 		}
