--- a/core/report/doc.go
+++ b/core/report/doc.go
@@ -1,2 +1,2 @@
-// Package report holds what an endpoint reports of its load, as JSON and as one header line.
+// Package report defines the load report of an endpoint, with its JSON and header encodings.
 package report
--- a/core/report/report.go
+++ b/core/report/report.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Report is one load report of an endpoint; Age is how old the figures were when it was written, by the
-// endpoint's own clock, so that no two clocks need to agree.
+// Report is one load report of an endpoint. AgeMs is the age of the values when the report was written, by the
+// endpoint's own clock, so that the clocks of router and endpoint need not agree.
 type Report struct {
 	Incarnation string   `json:"incarnation"`
 	AgeMs       int64    `json:"ageMs"`
@@ -19,20 +19,20 @@
 	Fence       int64    `json:"fence,omitempty"`
 }
 
-// Age is how old the figures were when the report was written.
+// Age returns how old the values were when the report was written.
 func (r Report) Age() time.Duration { return time.Duration(r.AgeMs) * time.Millisecond }
 
-// Requests is how many requests the endpoint holds.
+// Requests returns how many requests the endpoint holds.
 func (r Report) Requests() int { return r.Running + r.Waiting }
 
 const headerFormat = "incarnation=%s ageMs=%d running=%d waiting=%d tokens=%d leaving=%t"
 
-// Header is the report as the value of the header Savoryfall-Load; what is loaded is left out.
+// Header returns the report as the value of the header Savoryfall-Load, which omits what is loaded.
 func (r Report) Header() string {
 	return fmt.Sprintf(headerFormat, r.Incarnation, r.AgeMs, r.Running, r.Waiting, r.Tokens, r.Leaving)
 }
 
-// ParseHeader reads the value of the header; ok is false when it is absent or broken.
+// ParseHeader parses the value of the header; ok is false if it is empty or malformed.
 func ParseHeader(value string) (r Report, ok bool) {
 	n, err := fmt.Sscanf(value, headerFormat, &r.Incarnation, &r.AgeMs, &r.Running, &r.Waiting, &r.Tokens, &r.Leaving)
 	if err != nil || n != strings.Count(headerFormat, "%") || r.AgeMs < 0 || r.Running < 0 || r.Waiting < 0 || r.Tokens < 0 {
