--- a/core/board/board.go
+++ b/core/board/board.go
@@ -9,161 +9,169 @@
 	"savoryfall/core/prompt"
 )
 
-// Load is what one router, or all together, have going on at an endpoint.
+// Load is the load on one endpoint caused by one router or by all routers together.
 type Load struct {
-	// Endpoint is the hash of the endpoint's id.
+	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint32
-	// Running are requests, Unread the prompt tokens of those that have not begun to be answered.
+	// Running counts the requests in progress, Unread the prompt tokens of those whose response has not started
+	// yet.
 	Running int
 	Unread  int
-	// Bad and All count failures and attempts, faded with time.
+	// Bad counts failures and All counts attempts; both decay over time.
 	Bad float32
 	All float32
-	// Hidden are requests that the endpoint said it had beyond those that the routers count: some endpoints work on
-	// for clients that have left. Of several routers' words the highest counts.
+	// Hidden counts the requests that the endpoint reports beyond those that the routers account for: some
+	// endpoints keep working for clients that have disconnected. When several routers report a value, the highest
+	// is used.
 	Hidden float32
 }
 
-// Demand is what one router, or all together, were asked of a service at one rank of urgency.
+// Demand is the demand for a service at one priority rank, from one router or from all routers together.
 type Demand struct {
 	// Service is the hash of the service's name.
 	Service uint32
 	Rank    int
-	// Came counts the requests, faded with time; Running are those that hold a place.
+	// Came counts the requests received and decays over time; Running counts those that occupy a slot.
 	Came    float32
 	Running int
 }
 
-// Work is what one router, or all together, have going on.
+// Work is the load and demand of one router or of all routers together.
 type Work struct {
 	Loads   []Load
 	Demands []Demand
 }
 
-// Read says that an endpoint has read the shared parts of a prompt, and so holds them.
+// Read states that an endpoint has processed the shared parts of a prompt and therefore has them in its cache.
 type Read struct {
 	Endpoint uint32
 	Parts    prompt.Chain
 }
 
-// Board collects reports; the zero value is empty.
+// Board aggregates the reports of routers; the zero value is empty.
 type Board struct {
-	mu      sync.Mutex
-	routers map[string]*report
-	reads   []Read
-	first   int64
-	seen    map[readKey]bool
-	// elsewhere is the work of the routers that report to other hubs, as the hub of this one told at a time.
-	elsewhere   Work
-	elsewhereAt time.Time
+	mu        sync.Mutex
+	routers   map[string]*routerReport
+	reads     []Read
+	firstRead int64
+	seenReads map[partKey]bool
+	// remote is the load of the routers that report to other hubs, as derived from the total that this hub's own
+	// hub sent at remoteAt.
+	remote   Work
+	remoteAt time.Time
 }
 
-type report struct {
-	at   time.Time
-	work Work
+type routerReport struct {
+	receivedAt time.Time
+	work       Work
 }
 
-// readKey is an endpoint and the last shared part that it read.
-type readKey struct {
+// partKey identifies a Read by its endpoint and the last of its shared prompt parts.
+type partKey struct {
 	endpoint uint32
 	part     uint64
 }
 
 const (
-	// ReportAge is for how long a report counts: several reports may be lost before a router is taken as gone.
-	ReportAge = 2 * time.Second
-	// keptReads bounds the reads that are kept for routers that have not heard them: 1,500 shared prompts on some
-	// copies each.
-	keptReads = 8192
+	// ReportTTL is how long a report counts. Several reports in a row may be lost before a router is treated as
+	// gone.
+	ReportTTL = 2 * time.Second
+	// maxReads limits the reads kept for routers that have not received them yet. It is enough for 1,500 shared
+	// prompts, each on several replicas.
+	maxReads = 8192
 )
 
-// Take replaces what the router said before, adds what it has placed since, and returns what of that was not known.
+// Take replaces the router's previous report, adds its new reads, and returns those of the reads that were not
+// known before.
 func (b *Board) Take(router string, work Work, reads []Read, now time.Time) (fresh []Read) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.routers == nil {
-		b.routers = map[string]*report{}
+		b.routers = map[string]*routerReport{}
 	}
-	b.routers[router] = &report{at: now, work: work}
-	return b.note(reads)
+	b.routers[router] = &routerReport{receivedAt: now, work: work}
+	return b.addReads(reads)
 }
 
-// Hear adds what routers that report to other hubs have placed.
+// Hear adds reads from routers that report to other hubs.
 func (b *Board) Hear(reads []Read) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.note(reads)
+	b.addReads(reads)
 }
 
-// HearTotal takes the work of all routers as the hub of this one told it, of which reported was told by this one.
+// HearTotal sets the total load of all routers, as sent by this hub's own hub. The part of the total that this hub
+// reported itself is subtracted so that it isn't counted twice.
 func (b *Board) HearTotal(total, reported Work, now time.Time) {
-	rest := total.less(reported)
+	others := total.minus(reported)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.elsewhere, b.elsewhereAt = rest, now
+	b.remote, b.remoteAt = others, now
 }
 
-func (b *Board) note(reads []Read) (fresh []Read) {
+func (b *Board) addReads(reads []Read) (fresh []Read) {
 	for _, r := range reads {
-		if b.noteOne(r) {
+		if b.addRead(r) {
 			fresh = append(fresh, r)
 		}
 	}
 	return fresh
 }
 
-func (b *Board) noteOne(r Read) (fresh bool) {
+func (b *Board) addRead(r Read) (fresh bool) {
 	if len(r.Parts) == 0 {
 		return false
 	}
-	k := key(r)
-	if b.seen[k] {
+	key := keyOf(r)
+	if b.seenReads[key] {
 		return false
 	}
-	if b.seen == nil {
-		b.seen = map[readKey]bool{}
+	if b.seenReads == nil {
+		b.seenReads = map[partKey]bool{}
 	}
-	b.seen[k] = true
+	b.seenReads[key] = true
 	b.reads = append(b.reads, r)
-	if len(b.reads) > keptReads {
-		drop := len(b.reads) / 2
-		for _, old := range b.reads[:drop] {
-			delete(b.seen, key(old))
+	if len(b.reads) > maxReads {
+		dropped := len(b.reads) / 2
+		for _, old := range b.reads[:dropped] {
+			delete(b.seenReads, keyOf(old))
 		}
-		b.reads = append([]Read(nil), b.reads[drop:]...)
-		b.first += int64(drop)
+		b.reads = append([]Read(nil), b.reads[dropped:]...)
+		b.firstRead += int64(dropped)
 	}
 	return true
 }
 
-func key(r Read) readKey { return readKey{endpoint: r.Endpoint, part: r.Parts[len(r.Parts)-1].ID} }
+func keyOf(r Read) partKey { return partKey{endpoint: r.Endpoint, part: r.Parts[len(r.Parts)-1].ID} }
 
-// ReadsSince are the reads from a number on, and the number to go on from.
-func (b *Board) ReadsSince(n int64) (reads []Read, next int64) {
+// ReadsSince returns the reads from the given sequence number on, and the number to continue from.
+func (b *Board) ReadsSince(number int64) (reads []Read, next int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next = b.first + int64(len(b.reads))
-	if n < b.first {
-		n = b.first
+	next = b.firstRead + int64(len(b.reads))
+	if number < b.firstRead {
+		number = b.firstRead
 	}
-	if n >= next {
+	if number >= next {
 		return nil, next
 	}
-	return append([]Read(nil), b.reads[n-b.first:]...), next
+	return append([]Read(nil), b.reads[number-b.firstRead:]...), next
 }
 
-// Totals adds up what all routers said lately, by endpoint and by rank of a service, and counts those that report here.
+// Totals returns the sum of all current reports, per endpoint and per priority rank of a service, and the number
+// of routers that report to this hub.
 func (b *Board) Totals(now time.Time) (work Work, routers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum, routers := b.sum(now)
-	if now.Sub(b.elsewhereAt) <= ReportAge {
-		sum.add(b.elsewhere)
+	if now.Sub(b.remoteAt) <= ReportTTL {
+		sum.add(b.remote)
 	}
 	return sum.work, routers
 }
 
-// Reported adds up what the routers that report here said lately, this one among them, and counts them.
+// Reported returns the sum of the current reports of the routers that report to this hub, including this router,
+// and their number.
 func (b *Board) Reported(now time.Time) (work Work, routers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -171,19 +179,20 @@
 	return sum.work, routers
 }
 
-// Reporting tells whether the router has reported here lately.
+// Reporting returns whether the hub has a current report of the router.
 func (b *Board) Reporting(router string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.routers[router]
-	return r != nil && now.Sub(r.at) <= ReportAge
+	return r != nil && now.Sub(r.receivedAt) <= ReportTTL
 }
 
-func (b *Board) sum(now time.Time) (sum totals, routers int) {
-	// Added up in the order of the map, the same reports would not always give the same totals.
+func (b *Board) sum(now time.Time) (sum accumulator, routers int) {
+	// Floating-point sums depend on the order of addition, so the reports are added in a fixed order: otherwise the
+	// same reports would not always give the same totals.
 	for _, name := range slices.Sorted(maps.Keys(b.routers)) {
 		r := b.routers[name]
-		if now.Sub(r.at) > ReportAge {
+		if now.Sub(r.receivedAt) > ReportTTL {
 			delete(b.routers, name)
 			continue
 		}
@@ -193,11 +202,11 @@
 	return sum, routers
 }
 
-// totals adds up; the maps hold where in the work an endpoint or a rank stands.
-type totals struct {
-	work  Work
-	loads map[uint32]int
-	ranks map[rankKey]int
+// accumulator sums up loads and demands; the maps hold the index of each endpoint and each rank in the sum.
+type accumulator struct {
+	work        Work
+	loadIndex   map[uint32]int
+	demandIndex map[rankKey]int
 }
 
 type rankKey struct {
@@ -205,25 +214,25 @@
 	rank    int
 }
 
-func (t *totals) add(w Work) {
-	if t.loads == nil {
-		t.loads, t.ranks = map[uint32]int{}, map[rankKey]int{}
+func (t *accumulator) add(w Work) {
+	if t.loadIndex == nil {
+		t.loadIndex, t.demandIndex = map[uint32]int{}, map[rankKey]int{}
 	}
 	for _, l := range w.Loads {
-		i, ok := t.loads[l.Endpoint]
+		i, ok := t.loadIndex[l.Endpoint]
 		if !ok {
 			i = len(t.work.Loads)
-			t.loads[l.Endpoint] = i
+			t.loadIndex[l.Endpoint] = i
 			t.work.Loads = append(t.work.Loads, Load{Endpoint: l.Endpoint})
 		}
 		t.work.Loads[i].add(l)
 	}
 	for _, d := range w.Demands {
-		k := rankKey{service: d.Service, rank: d.Rank}
-		i, ok := t.ranks[k]
+		key := rankKey{service: d.Service, rank: d.Rank}
+		i, ok := t.demandIndex[key]
 		if !ok {
 			i = len(t.work.Demands)
-			t.ranks[k] = i
+			t.demandIndex[key] = i
 			t.work.Demands = append(t.work.Demands, Demand{Service: d.Service, Rank: d.Rank})
 		}
 		t.work.Demands[i].Came += d.Came
@@ -231,37 +240,37 @@
 	}
 }
 
-func (l *Load) add(o Load) {
-	l.Running += o.Running
-	l.Unread += o.Unread
-	l.Bad += o.Bad
-	l.All += o.All
-	l.Hidden = max(l.Hidden, o.Hidden)
+func (l *Load) add(other Load) {
+	l.Running += other.Running
+	l.Unread += other.Unread
+	l.Bad += other.Bad
+	l.All += other.All
+	l.Hidden = max(l.Hidden, other.Hidden)
 }
 
-// less is the work without a part of it. What is left is never below zero: the part may be newer than the whole. What an
-// endpoint says of itself is the same for all.
-func (w Work) less(part Work) (rest Work) {
-	loads := map[uint32]Load{}
+// minus subtracts a part of the load. The part may be newer than the whole, so no difference goes below zero.
+// Hidden is not subtracted: it is reported by the endpoint itself and is the same for all routers.
+func (w Work) minus(part Work) (difference Work) {
+	partLoads := map[uint32]Load{}
 	for _, l := range part.Loads {
-		loads[l.Endpoint] = l
+		partLoads[l.Endpoint] = l
 	}
 	for _, l := range w.Loads {
-		p := loads[l.Endpoint]
-		rest.Loads = append(rest.Loads, Load{
-			Endpoint: l.Endpoint, Running: max(l.Running-p.Running, 0), Unread: max(l.Unread-p.Unread, 0),
-			Bad: max(l.Bad-p.Bad, 0), All: max(l.All-p.All, 0), Hidden: l.Hidden,
+		subtrahend := partLoads[l.Endpoint]
+		difference.Loads = append(difference.Loads, Load{
+			Endpoint: l.Endpoint, Running: max(l.Running-subtrahend.Running, 0), Unread: max(l.Unread-subtrahend.Unread, 0),
+			Bad: max(l.Bad-subtrahend.Bad, 0), All: max(l.All-subtrahend.All, 0), Hidden: l.Hidden,
 		})
 	}
-	ranks := map[rankKey]Demand{}
+	partDemands := map[rankKey]Demand{}
 	for _, d := range part.Demands {
-		ranks[rankKey{service: d.Service, rank: d.Rank}] = d
+		partDemands[rankKey{service: d.Service, rank: d.Rank}] = d
 	}
 	for _, d := range w.Demands {
-		p := ranks[rankKey{service: d.Service, rank: d.Rank}]
-		rest.Demands = append(rest.Demands, Demand{
-			Service: d.Service, Rank: d.Rank, Came: max(d.Came-p.Came, 0), Running: max(d.Running-p.Running, 0),
+		subtrahend := partDemands[rankKey{service: d.Service, rank: d.Rank}]
+		difference.Demands = append(difference.Demands, Demand{
+			Service: d.Service, Rank: d.Rank, Came: max(d.Came-subtrahend.Came, 0), Running: max(d.Running-subtrahend.Running, 0),
 		})
 	}
-	return rest
+	return difference
 }
--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -12,25 +12,26 @@
 
 var start = time.Unix(1000, 0)
 
-// reported is a board to which routers have reported work at some endpoints, with counts that have faded.
-func reported(routers, endpoints int) *board.Board {
+// boardWithReports returns a board that has reports of the given number of routers, with decayed counts for each
+// endpoint.
+func boardWithReports(routers, endpoints int) *board.Board {
 	b := &board.Board{}
 	for i := range routers {
 		var w board.Work
 		for e := range endpoints {
-			faded := 1 / float32(1+i+e)
-			w.Loads = append(w.Loads, board.Load{Endpoint: uint32(e), Running: 1, Bad: faded, All: 3 * faded})
-			w.Demands = append(w.Demands, board.Demand{Service: 1, Rank: e, Came: faded})
+			decayed := 1 / float32(1+i+e)
+			w.Loads = append(w.Loads, board.Load{Endpoint: uint32(e), Running: 1, Bad: decayed, All: 3 * decayed})
+			w.Demands = append(w.Demands, board.Demand{Service: 1, Rank: e, Came: decayed})
 		}
 		b.Take(fmt.Sprint("vm", i), w, nil, start)
 	}
 	return b
 }
 
-// Routers that heard the same reports disagreed in the last digit of how often an endpoint fails and what is asked: the
-// reports were added up in another order each time, so that no run of a fleet could be repeated.
+// The sums of failures and demands used to differ in the last digit between routers that had received the same
+// reports, because map iteration changed the order of addition. No run of a fleet could then be reproduced.
 func TestSameReportsGiveTheSameTotals(t *testing.T) {
-	b := reported(30, 5)
+	b := boardWithReports(30, 5)
 	want, routers := b.Totals(start)
 	assert.Equal(t, routers, 30)
 	for range 100 {
@@ -40,7 +41,7 @@
 }
 
 func BenchmarkTotals(b *testing.B) {
-	full := reported(100, 90)
+	full := boardWithReports(100, 90)
 	b.ReportAllocs()
 	for b.Loop() {
 		full.Totals(start)
--- a/core/board/changes.go
+++ b/core/board/changes.go
@@ -6,44 +6,45 @@
 	"savoryfall/core/directory"
 )
 
-// Change is an endpoint that came, changed or went.
+// Change describes an endpoint that was added, changed or removed.
 type Change struct {
 	Entry  directory.Entry
 	Usable bool
 }
 
-// Changes keeps the newest change of each endpoint in order, for routers that follow the endpoints through the hub.
-// Heartbeats that change nothing never get here, and they are most of what is written. The zero value is empty.
+// Changes keeps the latest change of each endpoint under an increasing version, for routers that follow the
+// endpoints through the hub. Heartbeats that change nothing, which are most of the records written, are never
+// added. The zero value is empty.
 type Changes struct {
-	mu     sync.Mutex
-	by     map[string]numbered
-	number int64
+	mu      sync.Mutex
+	byID    map[string]versionedChange
+	version int64
 }
 
-type numbered struct {
-	change Change
-	number int64
+type versionedChange struct {
+	change  Change
+	version int64
 }
 
-// Put notes a change.
+// Put records a change.
 func (c *Changes) Put(change Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.by == nil {
-		c.by = map[string]numbered{}
+	if c.byID == nil {
+		c.byID = map[string]versionedChange{}
 	}
-	c.number++
-	c.by[change.Entry.ID] = numbered{change: change, number: c.number}
+	c.version++
+	c.byID[change.Entry.ID] = versionedChange{change: change, version: c.version}
 }
 
-// Since are the changes after the number, and the number to go on from.
-func (c *Changes) Since(n int64) (changes []Change, number int64) {
+// Since returns the changes after the given version, and the current version.
+func (c *Changes) Since(after int64) (changes []Change, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.by {
-		if k.number > n {
-			changes = append(changes, k.change)
+	for _, entry := range c.byID {
+		if entry.version > after {
+			changes = append(changes, entry.change)
 		}
 	}
-	return changes, c.number
+	return changes, c.version
 }
--- a/core/board/doc.go
+++ b/core/board/doc.go
@@ -1,2 +1,3 @@
-// Package board is what a hub knows of the routers that report to it, and what it tells them of each other.
+// Package board aggregates the load reports that a hub receives from routers, and keeps the versioned changes that
+// the hub sends back to them.
 package board
--- a/core/board/ledger.go
+++ b/core/board/ledger.go
@@ -7,89 +7,90 @@
 	"time"
 )
 
-// Ledger numbers the changes of the endpoints' total loads, so that a router is told only what has changed since it last
-// heard. The zero value is empty.
+// Ledger versions the total load of each endpoint, so that a router is sent only what has changed since the
+// version it has. The zero value is empty.
 type Ledger struct {
-	mu      sync.Mutex
-	by      map[uint32]*numberedLoad
-	demands []Demand
-	number  int64
-	at      time.Time
+	mu         sync.Mutex
+	byEndpoint map[uint32]*versionedLoad
+	demands    []Demand
+	version    int64
+	updatedAt  time.Time
 }
 
-type numberedLoad struct {
-	load   Load
-	number int64
+type versionedLoad struct {
+	load    Load
+	version int64
 }
 
-// ledgerAge is how old the totals may be that are told: adding up the reports anew for each router that asks would cost the
-// square of their number.
-const ledgerAge = 40 * time.Millisecond
+// totalsMaxAge is how old the totals that are sent may be. Summing up all reports for each router that asks would
+// cost the square of the number of routers.
+const totalsMaxAge = 40 * time.Millisecond
 
-// Due tells whether the totals are to be taken anew.
+// Due returns whether the totals must be updated with Take.
 func (l *Ledger) Due(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.at.IsZero() || now.Sub(l.at) >= ledgerAge
+	return l.updatedAt.IsZero() || now.Sub(l.updatedAt) >= totalsMaxAge
 }
 
-// Take numbers what differs from the totals before.
+// Take stores new totals and gives a new version to each load that has changed.
 func (l *Ledger) Take(total Work, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.by == nil {
-		l.by = map[uint32]*numberedLoad{}
+	if l.byEndpoint == nil {
+		l.byEndpoint = map[uint32]*versionedLoad{}
 	}
-	l.at, l.demands = now, total.Demands
-	busy := make(map[uint32]bool, len(total.Loads))
+	l.updatedAt, l.demands = now, total.Demands
+	present := make(map[uint32]bool, len(total.Loads))
 	for _, load := range total.Loads {
-		busy[load.Endpoint] = true
+		present[load.Endpoint] = true
 		l.put(load.rounded())
 	}
-	for endpoint := range l.by {
-		if !busy[endpoint] {
+	for endpoint := range l.byEndpoint {
+		if !present[endpoint] {
 			l.put(Load{Endpoint: endpoint})
 		}
 	}
 }
 
 func (l *Ledger) put(load Load) {
-	old := l.by[load.Endpoint]
+	old := l.byEndpoint[load.Endpoint]
 	if old != nil && old.load == load {
 		return
 	}
-	l.number++
-	l.by[load.Endpoint] = &numberedLoad{load: load, number: l.number}
+	l.version++
+	l.byEndpoint[load.Endpoint] = &versionedLoad{load: load, version: l.version}
 }
 
-// Since are the loads that changed after the number with the demands as they are, and the number to go on from. An endpoint
-// that nobody has anything going on at any more is told once, with no load.
-func (l *Ledger) Since(n int64) (w Work, number int64) {
+// Since returns the loads that changed after the given version, all current demands, and the current version. An
+// endpoint that has become idle is included once, with a zero load.
+func (l *Ledger) Since(after int64) (delta Work, version int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, old := range l.by {
-		if old.number > n && (n > 0 || old.load != Load{Endpoint: old.load.Endpoint}) {
-			w.Loads = append(w.Loads, old.load)
+	for _, current := range l.byEndpoint {
+		if current.version > after && (after > 0 || current.load != Load{Endpoint: current.load.Endpoint}) {
+			delta.Loads = append(delta.Loads, current.load)
 		}
 	}
-	slices.SortFunc(w.Loads, func(a, b Load) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
-	w.Demands = l.demands
-	return w, l.number
+	slices.SortFunc(delta.Loads, func(a, b Load) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
+	delta.Demands = l.demands
+	return delta, l.version
 }
 
-// Merge is what a router knows after it was told what changed; whole tells that this is all there is.
-func (w Work) Merge(changed Work, whole bool) (merged Work) {
+// Merge applies the changes that a router received to the state that it had; full means that they are the complete
+// state.
+func (w Work) Merge(changed Work, full bool) (merged Work) {
 	merged.Demands = changed.Demands
-	if whole {
+	if full {
 		merged.Loads = changed.Loads
 		return merged
 	}
-	news := make(map[uint32]Load, len(changed.Loads))
+	changedLoads := make(map[uint32]Load, len(changed.Loads))
 	for _, l := range changed.Loads {
-		news[l.Endpoint] = l
+		changedLoads[l.Endpoint] = l
 	}
 	for _, l := range w.Loads {
-		if _, changed := news[l.Endpoint]; !changed {
+		if _, changed := changedLoads[l.Endpoint]; !changed {
 			merged.Loads = append(merged.Loads, l)
 		}
 	}
@@ -101,17 +102,17 @@
 	return merged
 }
 
-// rounded leaves of the faded counts what matters, so that fading alone is not news with every report.
+// rounded reduces the precision of the decaying counts, so that decay alone does not make every load a change.
 func (l Load) rounded() Load {
 	l.Bad, l.All, l.Hidden = rounded(l.Bad), rounded(l.All), rounded(l.Hidden)
 	return l
 }
 
-// keptBits are the binary digits that are kept of a faded count: it is off by a sixteenth at most.
-const keptBits = 3
+// mantissaBits is the number of mantissa bits kept of a decaying count; the relative error is at most 1/16.
+const mantissaBits = 3
 
 func rounded(v float32) float32 {
-	const dropped = 23 - keptBits
-	bits := math.Float32bits(v) + 1<<(dropped-1)
-	return math.Float32frombits(bits &^ (1<<dropped - 1))
+	const droppedBits = 23 - mantissaBits
+	bits := math.Float32bits(v) + 1<<(droppedBits-1)
+	return math.Float32frombits(bits &^ (1<<droppedBits - 1))
 }
--- a/core/board/ledger_test.go
+++ b/core/board/ledger_test.go
@@ -9,11 +9,11 @@
 	"savoryfall/core/board"
 )
 
-// A router that is told only what changed knows the same as one that is told everything, also of endpoints that have become
-// idle meanwhile.
-func TestChangesAddUpToTheWhole(t *testing.T) {
+// A router that receives only the changes ends up with the same loads as one that receives the full totals,
+// including those of endpoints that have become idle in between.
+func TestDeltasMatchFullTotals(t *testing.T) {
 	var l board.Ledger
-	var told board.Work
+	var received board.Work
 	var number int64
 	for round := range 20 {
 		b := &board.Board{}
@@ -29,39 +29,39 @@
 		var changed board.Work
 		since := number
 		changed, number = l.Since(number)
-		told = told.Merge(changed, since == 0)
-		whole, _ := l.Since(0)
-		assert.Equal(t, len(told.Loads), len(whole.Loads))
+		received = received.Merge(changed, since == 0)
+		full, _ := l.Since(0)
+		assert.Equal(t, len(received.Loads), len(full.Loads))
 		want := map[uint32]board.Load{}
-		for _, load := range whole.Loads {
+		for _, load := range full.Loads {
 			want[load.Endpoint] = load
 		}
-		for _, load := range told.Loads {
+		for _, load := range received.Loads {
 			assert.Equal(t, load, want[load.Endpoint])
 		}
 	}
 }
 
-// Counts that fade are off by a sixteenth at most, and are no news with each report.
-func TestFadingIsSeldomNews(t *testing.T) {
+// Decaying counts are off by at most 1/16, and decay alone seldom changes a load.
+func TestDecayRarelyCausesChanges(t *testing.T) {
 	var l board.Ledger
-	news, v := 0, float32(10)
+	changes, v := 0, float32(10)
 	var number int64
 	for range 100 {
 		l.Take(board.Work{Loads: []board.Load{{Endpoint: 1, Running: 1, All: v}}}, start)
 		var w board.Work
 		w, number = l.Since(number)
-		news += len(w.Loads)
-		whole, _ := l.Since(0)
-		assert.Assert(t, whole.Loads[0].All >= v*15/16 && whole.Loads[0].All <= v*17/16, "%v of %v", whole.Loads[0].All, v)
+		changes += len(w.Loads)
+		full, _ := l.Since(0)
+		assert.Assert(t, full.Loads[0].All >= v*15/16 && full.Loads[0].All <= v*17/16, "%v of %v", full.Loads[0].All, v)
 		v *= 0.99
 	}
-	assert.Assert(t, news < 20, "%d", news)
+	assert.Assert(t, changes < 20, "%d", changes)
 }
 
-// Three hubs of a fleet add up what their routers report and hear of the rest from the first. Each must know the loads of all
-// routers, none of them twice.
-func TestLevelsAddUp(t *testing.T) {
+// Three hubs sum up the reports of their routers and get the total of the fleet from the first hub. Each must know
+// the load of all routers and count none of them twice.
+func TestHubLevelsCountEachRouterOnce(t *testing.T) {
 	first := &board.Board{}
 	hubs := []*board.Board{{}, {}, {}}
 	for i, h := range hubs {
@@ -86,8 +86,8 @@
 			assert.Equal(t, total.Demands[0].Running, 3)
 		}
 	}
-	// What was heard long ago does not count.
-	total, _ := hubs[0].Totals(start.Add(board.ReportAge + time.Millisecond))
+	// A total older than ReportTTL does not count.
+	total, _ := hubs[0].Totals(start.Add(board.ReportTTL + time.Millisecond))
 	assert.Equal(t, len(total.Loads), 0)
 }
 
