--- a/core/members/doc.go
+++ b/core/members/doc.go
@@ -1,2 +1,3 @@
-// Package members keeps the routers of the fleet as the store lists them, and the order in which they serve as hub.
+// Package members keeps the list of the routers in the fleet, as listed in the store, and ranks them to choose the
+// hub that each router follows.
 package members
--- a/core/members/place_test.go
+++ b/core/members/hub_test.go
@@ -12,22 +12,22 @@
 
 var now = time.Unix(1000, 0)
 
-// vm is a small VM of a failure domain; every twentieth is a large one.
+// vm returns a router on a small VM; every twentieth VM of a failure domain is a large one.
 func vm(i int) members.Member {
 	m := members.Member{
 		Name: fmt.Sprint("vm", i), Address: fmt.Sprint("10.0.0.", i), FailureDomain: fmt.Sprint("domain", i%6), Started: 1,
 		Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.Bears(),
 	}
-	if large(i) {
+	if isLarge(i) {
 		m.Bears = members.VM{Cores: 0.8, MemoryMB: 536, LinkMbps: 200}.Bears()
 	}
 	return m
 }
 
-func large(i int) bool { return i/6%20 == 0 }
+func isLarge(i int) bool { return i/6%20 == 0 }
 
-// list is what a router knows of a fleet of n, those without an answer left out of what can be followed.
-func list(n int, silent func(i int) bool) *members.List {
+// listOf returns the list of a fleet of n routers; silent routers are marked as failed.
+func listOf(n int, silent func(i int) bool) *members.List {
 	l := &members.List{}
 	for i := range n {
 		l.Put(vm(i))
@@ -38,11 +38,11 @@
 	return l
 }
 
-func nobody(int) bool { return false }
+func noneSilent(int) bool { return false }
 
-// followed is who follows whom, by name, "" for nobody.
-func followed(n int, silent func(i int) bool) (hubs map[string]string) {
-	l := list(n, silent)
+// hubsOf returns the hub that each router follows by name, or "" for a router that follows nobody.
+func hubsOf(n int, silent func(i int) bool) (hubs map[string]string) {
+	l := listOf(n, silent)
 	hubs = map[string]string{}
 	for i := range n {
 		if silent(i) {
@@ -54,53 +54,54 @@
 	return hubs
 }
 
-// check tells how many levels there are, and how many follow the busiest.
-func check(t *testing.T, hubs map[string]string) (levels, most int) {
+// checkLevels checks that there is one root and no cycle. It returns the number of hub levels and the highest
+// number of followers of one hub.
+func checkLevels(t *testing.T, hubs map[string]string) (levels, maxFollowers int) {
 	t.Helper()
-	first, followers := 0, map[string]int{}
+	roots, followers := 0, map[string]int{}
 	for name, hub := range hubs {
 		if hub == "" {
-			first++
+			roots++
 		}
 		followers[hub]++
 		depth := 0
-		for at := name; hubs[at] != ""; at = hubs[at] {
+		for next := name; hubs[next] != ""; next = hubs[next] {
 			depth++
-			assert.Assert(t, depth < 10, "%s follows in a circle", name)
+			assert.Assert(t, depth < 10, "%s follows in a cycle", name)
 		}
 		levels = max(levels, depth)
 	}
-	assert.Equal(t, first, 1)
+	assert.Equal(t, roots, 1)
 	delete(followers, "")
 	for _, n := range followers {
-		most = max(most, n)
+		maxFollowers = max(maxFollowers, n)
 	}
-	return levels, most
+	return levels, maxFollowers
 }
 
-// One hub for hundreds of routers was on its knees: each hub must have no more followers than its VM bears, at the size of
-// today and of the future. Where one bears all there is one level: with two, a fleet of 72 sent more than 3 in 100 requests to engines
-// beyond the users' bound.
-func TestHubsHaveNoMoreFollowersThanTheirVMBears(t *testing.T) {
+// A single hub for hundreds of routers was overloaded. Each hub must have no more followers than its VM can serve,
+// at present and at future fleet sizes. If one VM can serve all routers, there must be a single level: with two
+// levels, a fleet of 72 sent more than 3 in 100 requests to engines beyond the users' bound.
+func TestHubsStayWithinVMCapacity(t *testing.T) {
 	for _, c := range []struct{ routers, levels, most int }{{9, 1, 8}, {81, 1, 80}, {300, 2, 64}, {1700, 2, 64}} {
-		levels, most := check(t, followed(c.routers, nobody))
+		levels, most := checkLevels(t, hubsOf(c.routers, noneSilent))
 		assert.Equal(t, levels, c.levels, "%d routers", c.routers)
 		assert.Assert(t, most <= c.most, "%d routers, %d follow one", c.routers, most)
 	}
 }
 
-// All large VMs are lost: small ones are hubs then, more of them, each with no more than it bears.
-func TestSmallVMsTakeOver(t *testing.T) {
-	hubs := followed(300, large)
-	levels, most := check(t, hubs)
+// When all large VMs are lost, small ones serve as hubs. There are more of them then, each within its capacity.
+func TestSmallVMsServeAsHubsWhenLargeOnesFail(t *testing.T) {
+	hubs := hubsOf(300, isLarge)
+	levels, most := checkLevels(t, hubs)
 	assert.Equal(t, levels, 2)
 	assert.Assert(t, most <= vm(299).Followers(), "%d follow one", most)
 }
 
-// The loss of a hub moves those that followed it, and of the others in its domain the few that are nearest to the hub which takes
-// its place; nobody elsewhere.
-func TestLossOfAHubMovesItsFollowersOnly(t *testing.T) {
-	before := followed(300, nobody)
+// When a hub is lost, only its followers move, and those few other routers of the domain whose nearest hub by hash
+// is now its replacement. Routers in other domains stay.
+func TestHubLossMovesOnlyItsFollowers(t *testing.T) {
+	before := hubsOf(300, noneSilent)
 	var lost int
 	for i := range 300 {
 		if hub := before[vm(i).Name]; hub != "" && before[hub] != "" {
@@ -108,7 +109,7 @@
 		}
 	}
 	moved := 0
-	for name, hub := range followed(300, func(i int) bool { return i == lost }) {
+	for name, hub := range hubsOf(300, func(i int) bool { return i == lost }) {
 		if before[name] != hub && before[name] != vm(lost).Name {
 			moved++
 		}
@@ -116,28 +117,28 @@
 	assert.Assert(t, moved <= 300/6/4, "%d moved", moved)
 }
 
-// A router whose domain is cut off from the others reaches only those in it: it must end up with a hub there, or lead.
-func TestDomainThatIsCutOffHasAHub(t *testing.T) {
-	levels, _ := check(t, followed(300, func(i int) bool { return i%6 != 2 }))
+// Routers in a failure domain that is cut off reach only each other, and must choose a hub within the domain.
+func TestPartitionedDomainHasHub(t *testing.T) {
+	levels, _ := checkLevels(t, hubsOf(300, func(i int) bool { return i%6 != 2 }))
 	assert.Assert(t, levels <= 2)
 }
 
-// Routers that disagree on who answers never follow each other in a circle.
-func TestNoCircleWhateverEachBelieves(t *testing.T) {
+// Routers that disagree on who answers never follow each other in a cycle.
+func TestNoCycleWithDifferingViews(t *testing.T) {
 	for a := range 40 {
 		for b := range 40 {
 			if a == b {
 				continue
 			}
-			m, _ := list(40, func(i int) bool { return i%7 == 3 && i != a }).Hub(vm(a).Name)
-			o, _ := list(40, func(i int) bool { return i%5 == 2 && i != b }).Hub(vm(b).Name)
+			m, _ := listOf(40, func(i int) bool { return i%7 == 3 && i != a }).Hub(vm(a).Name)
+			o, _ := listOf(40, func(i int) bool { return i%5 == 2 && i != b }).Hub(vm(b).Name)
 			assert.Assert(t, m.Name != vm(b).Name || o.Name != vm(a).Name)
 		}
 	}
 }
 
-// Processor time is not all: a VM with much of it and a thin link, or little memory, is no better hub.
-func TestHubIsChosenByTheLeastOfWhatItsVMHas(t *testing.T) {
+// A VM with many cores but a slow link or little memory does not rank as a better hub.
+func TestCapacityIsLimitedByScarcestResource(t *testing.T) {
 	thin := members.Member{Name: "thin", Bears: members.VM{Cores: 8, MemoryMB: 4096, LinkMbps: 2}.Bears()}
 	full := members.Member{Name: "full", Bears: members.VM{Cores: 8, MemoryMB: 70, LinkMbps: 1000}.Bears()}
 	even := members.Member{Name: "even", Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.Bears()}
@@ -153,48 +154,50 @@
 	assert.Equal(t, odd.Followers(), 1)
 }
 
-// A hub that is gone for good is tried ever more seldom and never waited for; one that comes back with a new process is followed
-// at once.
-func TestSilentHubIsTriedLessAndLess(t *testing.T) {
-	l := list(2, nobody)
+// A hub that is gone for good is retried at increasing intervals and never waited for. A hub that restarts with a
+// new process is followed at once.
+func TestSilentHubIsRetriedWithBackoff(t *testing.T) {
+	l := listOf(2, noneSilent)
 	first, ok := l.Hub("vm1")
 	assert.Assert(t, ok)
 	l.Failed(first.Name, now)
-	tried := 0
+	retries := 0
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(100 * time.Millisecond) {
 		_, ok = l.Hub("vm1")
 		assert.Assert(t, !ok)
 		for _, m := range l.Retry("vm1", 9, at) {
 			l.Failed(m.Name, at)
-			tried++
+			retries++
 		}
 	}
-	assert.Assert(t, tried >= 6 && tried <= 9, "%d", tried)
+	assert.Assert(t, retries >= 6 && retries <= 9, "%d", retries)
 	first.Started++
 	l.Put(first)
 	_, ok = l.Hub("vm1")
 	assert.Assert(t, ok)
 }
 
-// A hub that can be reached again but is no use stays one that failed: it is not returned to twice a second.
-func TestReachedHubThatIsNoUseIsTriedLessAndLess(t *testing.T) {
-	l := list(2, nobody)
-	followed := 0
+// A hub that accepts connections again but still fails as a hub keeps its backoff; it is not followed again twice
+// a second.
+func TestReachableButFailingHubIsRetriedWithBackoff(t *testing.T) {
+	l := listOf(2, noneSilent)
+	attempts := 0
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(100 * time.Millisecond) {
 		for _, m := range l.Retry("vm1", 9, at) {
 			l.Reached(m.Name)
 		}
 		if m, ok := l.Hub("vm1"); ok {
 			l.Failed(m.Name, at)
-			followed++
+			attempts++
 		}
 	}
-	assert.Assert(t, followed <= 9, "%d", followed)
+	assert.Assert(t, attempts <= 9, "%d", attempts)
 }
 
-// The list at the store holds what a router wrote when it first came; that must not undo what is known of its new process.
-func TestOldEntryChangesNothing(t *testing.T) {
-	l := list(3, nobody)
+// The store holds the entry that a router wrote when it first joined. That entry must not overwrite what is known
+// of a newer process.
+func TestStaleEntryIsIgnored(t *testing.T) {
+	l := listOf(3, noneSilent)
 	m := vm(1)
 	m.Started = 7
 	assert.Equal(t, len(l.Put(m)), 1)
@@ -205,9 +208,9 @@
 	assert.Assert(t, !l.Has(moved))
 }
 
-// Only what changed is told, and nothing to who knows the same.
-func TestListTellsWhatChanged(t *testing.T) {
-	l := list(300, nobody)
+// Since returns only what changed, and nothing to a caller with the same list.
+func TestSinceReturnsOnlyChanges(t *testing.T) {
+	l := listOf(300, noneSilent)
 	all, number := l.Since(0, 0)
 	assert.Equal(t, len(all), 300)
 	l.Put(members.Member{Name: "new", Address: "a"})
@@ -223,7 +226,7 @@
 }
 
 func BenchmarkHub(b *testing.B) {
-	l := list(1700, nobody)
+	l := listOf(1700, noneSilent)
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Hub("vm1699")
--- a/core/members/list.go
+++ b/core/members/list.go
@@ -6,79 +6,81 @@
 	"time"
 )
 
-// List is the routers known, with which of them did not answer lately; the zero value is empty.
+// List holds the known routers and which of them have recently failed to answer; the zero value is empty.
 type List struct {
-	mu     sync.Mutex
-	by     map[string]*known
-	order  []*known
-	number int64
-	digest uint64
+	mu      sync.Mutex
+	byName  map[string]*routerEntry
+	ranked  []*routerEntry
+	version int64
+	digest  uint64
 }
 
-// known is a router with what this one has met of it.
-type known struct {
+// routerEntry is a router and the state that this router keeps for it.
+type routerEntry struct {
 	member Member
 	hash   uint64
-	// number is that of the change that brought what is known.
-	number int64
-	digest uint64
-	// suspect tells that it did not answer, or was no use as hub, and has not been reached since; retryAt is when to try,
-	// misses how often it failed in a row.
-	suspect bool
-	retryAt time.Time
-	misses  int
+	// version is the list version of the last change to this entry.
+	version int64
+	digest  uint64
+	// suspect is set when the router did not answer or failed as a hub, and cleared when it has been reached again.
+	// retryAt is the time of the next retry; failures counts the consecutive failures.
+	suspect  bool
+	retryAt  time.Time
+	failures int
 }
 
-// retryFirst and retryMost bound the time after which a router that failed is tried again. It doubles: a process that restarts
-// is found again soon, a VM that is gone for good is not tried over and over. One that comes back with a new process is heard
-// of by its reports.
+// retryMin and retryMax bound the delay before a failed router is tried again. The delay doubles with each
+// failure: a process that restarts is found again soon, and a VM that is gone for good is seldom tried. A router
+// that restarts with a new process is noticed by its own reports.
 const (
-	retryFirst = 500 * time.Millisecond
-	retryMost  = 16 * time.Second
+	retryMin = 500 * time.Millisecond
+	retryMax = 16 * time.Second
 )
 
-// Put adds routers, or replaces what was known of them, and tells which of them are news.
-func (l *List) Put(all ...Member) (news []Member) {
+// Put adds or updates routers and returns those that changed.
+func (l *List) Put(routers ...Member) (changed []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.by == nil {
-		l.by = map[string]*known{}
+	if l.byName == nil {
+		l.byName = map[string]*routerEntry{}
 	}
-	for _, m := range all {
+	for _, m := range routers {
 		if l.put(m) {
-			news = append(news, m)
+			changed = append(changed, m)
 		}
 	}
-	if len(news) > 0 {
+	if len(changed) > 0 {
 		l.sort()
 	}
-	return news
+	return changed
 }
 
-// put takes one router. What an earlier process of that VM wrote is old: the store keeps a router's first entry.
+// put adds or updates one router. An entry from an earlier process on the same VM is ignored: the store keeps the
+// first entry that a router wrote.
 func (l *List) put(m Member) (changed bool) {
-	k := l.by[m.Name]
+	k := l.byName[m.Name]
 	if k == nil {
-		k = &known{hash: Hash(m.Name)}
-		l.by[m.Name] = k
-		l.order = append(l.order, k)
+		k = &routerEntry{hash: Hash(m.Name)}
+		l.byName[m.Name] = k
+		l.ranked = append(l.ranked, k)
 	} else if k.member == m || m.Started < k.member.Started {
 		return false
 	}
 	if k.member.Started != m.Started {
-		k.suspect, k.misses = false, 0
+		k.suspect, k.failures = false, 0
 	}
-	l.number++
+	l.version++
 	l.digest -= k.digest
-	k.member, k.number, k.digest = m, l.number, m.digest()
+	k.member, k.version, k.digest = m, l.version, m.digest()
 	l.digest += k.digest
 	return true
 }
 
-// sort puts the VMs that can serve most as hub first; among equals a hash decides, which all routers compute alike.
+// sort ranks the routers by how many followers their VMs can serve as hub, the most first. Ties are broken by a
+// hash that all routers compute alike.
 func (l *List) sort() {
-	sort.Slice(l.order, func(i, j int) bool {
-		a, b := l.order[i], l.order[j]
+	sort.Slice(l.ranked, func(i, j int) bool {
+		a, b := l.ranked[i], l.ranked[j]
 		if a.member.Bears != b.member.Bears {
 			return a.member.Bears > b.member.Bears
 		}
@@ -86,28 +88,28 @@
 	})
 }
 
-// Len is how many routers are known.
+// Len returns the number of known routers.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.by)
+	return len(l.byName)
 }
 
-// Hashes are those of the names of all routers known.
+// Hashes returns the name hashes of all known routers.
 func (l *List) Hashes() (hashes []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, k := range l.order {
+	for _, k := range l.ranked {
 		hashes = append(hashes, k.hash)
 	}
 	return hashes
 }
 
-// Has tells whether the router is known as it is, but for when its process started.
+// Has returns whether the router is known with the same values, ignoring the start time of its process.
 func (l *List) Has(m Member) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.by[m.Name]
+	k := l.byName[m.Name]
 	if k == nil {
 		return false
 	}
@@ -115,54 +117,57 @@
 	return k.member == m
 }
 
-// Since are the routers that changed after the number, and the number to go on from; none for who has a list of that digest.
-func (l *List) Since(n int64, digest uint64) (changed []Member, number int64) {
+// Since returns the routers that changed after the given version, and the current version. It returns no routers
+// if the caller's list has the same digest.
+func (l *List) Since(after int64, digest uint64) (changed []Member, version int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if digest == l.digest {
-		return nil, l.number
+		return nil, l.version
 	}
-	for _, k := range l.order {
-		if k.number > n {
+	for _, k := range l.ranked {
+		if k.version > after {
 			changed = append(changed, k.member)
 		}
 	}
-	return changed, l.number
+	return changed, l.version
 }
 
-// Digest is the same for two lists of the same routers, in whatever order they were heard of.
+// Digest returns a digest of the list's contents that does not depend on the order in which the routers were
+// added.
 func (l *List) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.digest
 }
 
-// Failed notes that a router did not answer, or was no use as hub.
+// Failed records that a router did not answer or failed as a hub, and schedules the next retry.
 func (l *List) Failed(name string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.by[name]
+	k := l.byName[name]
 	if k == nil {
 		return
 	}
-	k.suspect, k.retryAt = true, now.Add(min(retryFirst<<min(k.misses, 16), retryMost))
-	k.misses++
+	k.suspect, k.retryAt = true, now.Add(min(retryMin<<min(k.failures, 16), retryMax))
+	k.failures++
 }
 
-// Reached notes that a connection to the router can be made. How often it failed is kept until it has served as hub.
+// Reached records that a connection to the router succeeded. The failure count is kept until the router has served
+// as hub.
 func (l *List) Reached(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.by[name]; k != nil {
+	if k := l.byName[name]; k != nil {
 		k.suspect = false
 	}
 }
 
-// Answered notes that a router served as hub.
+// Answered records that a router served as hub, and resets its failure count.
 func (l *List) Answered(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.by[name]; k != nil {
-		k.suspect, k.misses = false, 0
+	if k := l.byName[name]; k != nil {
+		k.suspect, k.failures = false, 0
 	}
 }
--- a/core/members/member.go
+++ b/core/members/member.go
@@ -6,58 +6,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a router as it lists itself. What is written to the store is what others need to find a hub, and no more: all
-// routers that start together read the whole list.
+// Member describes a router as it registers itself. The store holds only what other routers need to find a hub,
+// because all routers that start at the same time read the whole list.
 type Member struct {
 	Name          string `json:"-"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"domain"`
-	// Started is when its process started, in Unix milliseconds; it only tells two processes of a name apart.
+	// Started is the start time of the router's process in Unix milliseconds. It only distinguishes processes of
+	// the same name.
 	Started int64 `json:"-"`
-	// Bears is how many routers its VM could serve as hub.
+	// Bears is how many followers the router's VM could serve as hub.
 	Bears int `json:"bears"`
 }
 
-// VM is what a VM has; 0 for memory or link is not known.
+// VM describes the resources of a VM. For memory and link speed, 0 means unknown.
 type VM struct {
 	Cores    float64
 	MemoryMB float64
 	LinkMbps float64
 }
 
-// What a VM spends as hub: at most half of its processor and of the memory that serving leaves, and a quarter of its
-// link, so that its own clients do not feel it.
+// These limit what a VM spends on serving as hub: half of its CPU, half of the memory that remains after
+// reservedMB for serving requests, and a quarter of its link, so that the router's own clients are not affected.
 const (
-	coresShare    = 0.5
-	memoryShare   = 0.5
-	linkShare     = 0.25
-	servingMB     = 64.0
-	followerCores = 0.001
-	followerMB    = 0.5
-	followerMbps  = 0.1
+	hubCoresShare  = 0.5
+	hubMemoryShare = 0.5
+	hubLinkShare   = 0.25
+	reservedMB     = 64.0
+	followerCores  = 0.001
+	followerMB     = 0.5
+	followerMbps   = 0.1
 )
 
-// mostFollowers bounds a hub on a VM of any size: its loss is felt by all who report to it.
-const mostFollowers = 100
+// maxFollowers limits the followers of a hub on a VM of any size, because losing a hub affects all routers that
+// report to it.
+const maxFollowers = 100
 
-// Bears is how many routers the VM could serve as hub, by the least of what it has.
+// Bears returns how many followers the VM could serve as hub, limited by its scarcest resource.
 func (vm VM) Bears() int {
-	n := vm.Cores * coresShare / followerCores
+	n := vm.Cores * hubCoresShare / followerCores
 	if vm.MemoryMB > 0 {
-		n = min(n, max(0, vm.MemoryMB-servingMB)*memoryShare/followerMB)
+		n = min(n, max(0, vm.MemoryMB-reservedMB)*hubMemoryShare/followerMB)
 	}
 	if vm.LinkMbps > 0 {
-		n = min(n, vm.LinkMbps*linkShare/followerMbps)
+		n = min(n, vm.LinkMbps*hubLinkShare/followerMbps)
 	}
 	return int(max(0, n))
 }
 
-// Followers is how many routers may report to this one at a time, at least one.
+// Followers returns how many routers may report to this router at a time; it is at least 1.
 func (m Member) Followers() int {
-	return max(1, min(m.Bears, mostFollowers))
+	return max(1, min(m.Bears, maxFollowers))
 }
 
-// Hash stands for a router's name where routers are ranked.
+// Hash returns the hash of a router's name that is used to rank routers.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
+// digest hashes all fields including their names, so the result changes when a field is renamed.
 func (m Member) digest() uint64 { return xxhash.Sum64String(fmt.Sprintf("%+v", m)) }
