--- a/core/rota/rota.go
+++ b/core/rota/rota.go
@@ -5,110 +5,116 @@
 	"time"
 )
 
-// Rota asks one router after the other to read for the hub, and goes on with one that can; the zero value asks nobody. Times
-// are of the clock since boot.
+// Rota assigns reading to one router after the other, and keeps a router assigned as long as its reads succeed.
+// The zero value has no assignments. Times are measured since boot.
 //
-// The store may turn the hub away and serve others. When each router found that out by itself, an outage cost the store two
-// calls a second from every router.
+// The store may reject the hub and serve other routers. When each router found that out by itself, an outage cost
+// the store two calls a second from every router.
 type Rota struct {
-	mu    sync.Mutex
-	turns map[string]*turn
-	// active is how many are asked now, asked how many were since the hub could read last, and lastAt when the last was.
-	active int
-	asked  int
-	lastAt time.Duration
+	mu          sync.Mutex
+	assignments map[string]*assignment
+	// active is the number of current assignments, assigned the number of assignments made since the hub could last
+	// read, and lastAssignedAt the time of the latest one.
+	active         int
+	assigned       int
+	lastAssignedAt time.Duration
 }
 
-// turn is a router that was asked.
-type turn struct {
-	active    bool
-	since     time.Duration
-	delivered time.Duration
+// assignment is the state of a router that was assigned to read.
+type assignment struct {
+	active      bool
+	startedAt   time.Duration
+	deliveredAt time.Duration
 }
 
 const (
-	// atOnce is how many routers are asked at a time.
-	atOnce = 2
-	// atFirst is how many routers are asked as fast as they fail: where the store serves some, one of them is found so.
-	// After that the store is taken to be away from all, and one is asked each pace.
-	atFirst = 8
-	pace    = 2 * time.Second
-	// turnTime is how long a router has to bring something: some tries at a store that does not answer.
-	turnTime = 900 * time.Millisecond
-	// failTime is after how long a router is believed that says it cannot read; what it says sooner may be of before.
-	failTime = 250 * time.Millisecond
-	// again is how long a router that could not read is not asked: what turned it away is seldom over sooner.
-	again = 5 * time.Second
+	// maxActive is how many routers are assigned at a time.
+	maxActive = 2
+	// fastAssignments is how many routers are assigned as fast as the previous ones fail: if the store serves some
+	// routers, one of them is found this way. After that the store is assumed to be unavailable to all, and one
+	// router is assigned per assignInterval.
+	fastAssignments = 8
+	assignInterval  = 2 * time.Second
+	// deliveryTimeout is how long a router may take to deliver newer records: enough for several attempts at a
+	// store that does not answer.
+	deliveryTimeout = 900 * time.Millisecond
+	// failureDelay is how long reports of failure are ignored after an assignment or delivery, because an earlier
+	// report may describe the state before it.
+	failureDelay = 250 * time.Millisecond
+	// reassignDelay is how long a router that could not read is not assigned again; the cause of a rejection seldom
+	// goes away sooner.
+	reassignDelay = 5 * time.Second
 )
 
-// Hub is how the hub itself stands with the store.
+// Hub is the state of the hub's own reads from the store.
 type Hub struct {
-	// Failing tells that it must read and cannot, Starving that what it knows is getting old besides.
+	// Failing is set when the hub needs to read and cannot; Starving is set when its data is also becoming stale.
 	Failing, Starving bool
 }
 
-// Router is what one that has just reported says of itself.
+// Router is the state that a router has just reported.
 type Router struct {
 	Name string
-	// Newer tells that it knows more than the hub, by reads of its own; Failing that it cannot read.
+	// Newer is set when the router has newer data than the hub from its own reads; Failing is set when it cannot
+	// read.
 	Newer, Failing bool
 }
 
-// Asks tells a router whether it is to read.
+// Asks returns whether the router should read the store for the hub.
 func (r *Rota) Asks(router Router, hub Hub, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !hub.Failing {
-		r.turns, r.active, r.asked = nil, 0, 0
+		r.assignments, r.active, r.assigned = nil, 0, 0
 		return false
 	}
 	r.expire(now)
-	t := r.turns[router.Name]
-	if t != nil && t.active {
-		if router.Failing && now-t.delivered > failTime {
-			r.end(t)
+	current := r.assignments[router.Name]
+	if current != nil && current.active {
+		if router.Failing && now-current.deliveredAt > failureDelay {
+			r.end(current)
 		}
-		return t.active
+		return current.active
 	}
-	if !router.Newer && !r.due(t, hub, now) {
+	if !router.Newer && !r.mayAssign(current, hub, now) {
 		return false
 	}
-	if r.turns == nil {
-		r.turns = map[string]*turn{}
+	if r.assignments == nil {
+		r.assignments = map[string]*assignment{}
 	}
-	r.turns[router.Name] = &turn{active: true, since: now, delivered: now}
+	r.assignments[router.Name] = &assignment{active: true, startedAt: now, deliveredAt: now}
 	r.active++
-	r.asked++
-	r.lastAt = now
+	r.assigned++
+	r.lastAssignedAt = now
 	return true
 }
 
-// due tells whether a router is to be asked that had its last turn then.
-func (r *Rota) due(last *turn, hub Hub, now time.Duration) bool {
-	if !hub.Starving || r.active >= atOnce || last != nil && now-last.since < again {
+// mayAssign returns whether a router may be assigned, given its last assignment, or nil if it had none.
+func (r *Rota) mayAssign(last *assignment, hub Hub, now time.Duration) bool {
+	if !hub.Starving || r.active >= maxActive || last != nil && now-last.startedAt < reassignDelay {
 		return false
 	}
-	return r.asked < atFirst || now-r.lastAt >= pace
+	return r.assigned < fastAssignments || now-r.lastAssignedAt >= assignInterval
 }
 
-func (r *Rota) end(t *turn) {
+func (r *Rota) end(t *assignment) {
 	t.active = false
 	r.active--
 }
 
-// Delivered notes that a router brought something newer than the hub had.
+// Delivered records that a router delivered something newer than the hub had.
 func (r *Rota) Delivered(router string, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t := r.turns[router]; t != nil {
-		t.delivered = now
+	if current := r.assignments[router]; current != nil {
+		current.deliveredAt = now
 	}
 }
 
-// expire ends the turns of routers that bring nothing.
+// expire ends the assignments of routers that deliver nothing.
 func (r *Rota) expire(now time.Duration) {
-	for _, t := range r.turns {
-		if t.active && now-t.delivered > turnTime {
+	for _, t := range r.assignments {
+		if t.active && now-t.deliveredAt > deliveryTimeout {
 			r.end(t)
 		}
 	}
--- a/core/rota/rota_test.go
+++ b/core/rota/rota_test.go
@@ -12,49 +12,52 @@
 
 const step = 100 * time.Millisecond
 
-// play lets 60 routers report for some time to a hub that cannot read, and counts who was asked; those that can read deliver
-// what they read and the others say that they fail.
-func play(r *rota.Rota, reads func(name string) bool, last time.Duration) (asked map[string]bool, reading int) {
-	asked = map[string]bool{}
-	asking := map[string]bool{}
-	starving := true
-	for now := time.Duration(0); now < last; now += step {
+// simulate has 60 routers report for some time to a hub that cannot read. Assigned routers that can read deliver,
+// and the others report failure. It returns the routers that were ever assigned, and how many are assigned at the
+// end.
+func simulate(r *rota.Rota, canRead func(name string) bool, duration time.Duration) (assigned map[string]bool, reading int) {
+	assigned = map[string]bool{}
+	active := map[string]bool{}
+	stale := true
+	for now := time.Duration(0); now < duration; now += step {
 		reading = 0
 		for i := range 60 {
 			name := fmt.Sprint(i)
-			if asking[name] && reads(name) {
+			if active[name] && canRead(name) {
 				r.Delivered(name, now)
-				starving = false
+				stale = false
 			}
-			asking[name] = r.Asks(rota.Router{Name: name, Failing: asked[name] && !reads(name)}, rota.Hub{Failing: true, Starving: starving}, now)
-			if asking[name] {
-				asked[name] = true
+			active[name] = r.Asks(rota.Router{Name: name, Failing: assigned[name] && !canRead(name)}, rota.Hub{Failing: true, Starving: stale}, now)
+			if active[name] {
+				assigned[name] = true
 				reading++
 			}
 		}
 	}
-	return asked, reading
+	return assigned, reading
 }
 
-// In an outage of the whole store every router tried to read by itself; now hardly more than one a second does.
-func TestOutageIsTriedByFew(t *testing.T) {
-	asked, reading := play(&rota.Rota{}, func(string) bool { return false }, 10*time.Second)
-	assert.Assert(t, len(asked) >= 8 && len(asked) <= 14, "%d asked", len(asked))
+// Every router used to try to read by itself during an outage of the whole store. With assignments, little more
+// than one router a second does.
+func TestOutageUsesFewReaders(t *testing.T) {
+	assigned, reading := simulate(&rota.Rota{}, func(string) bool { return false }, 10*time.Second)
+	assert.Assert(t, len(assigned) >= 8 && len(assigned) <= 14, "%d assigned", len(assigned))
 	assert.Assert(t, reading <= 2)
 }
 
-// The store serves two in three: one of them is found within a second, stays, and nobody else is asked.
-func TestOneThatReadsIsFoundAndKept(t *testing.T) {
-	reads := func(name string) bool { return name != "0" && name != "1" }
-	asked, _ := play(&rota.Rota{}, reads, time.Second)
-	assert.Assert(t, len(asked) <= 4)
-	asked, reading := play(&rota.Rota{}, reads, 10*time.Second)
-	assert.Assert(t, len(asked) <= 4, "%d asked", len(asked))
+// The store serves all routers but two. One that can read is found within a second and kept, and no others are
+// assigned.
+func TestWorkingReaderIsFoundAndKept(t *testing.T) {
+	canRead := func(name string) bool { return name != "0" && name != "1" }
+	assigned, _ := simulate(&rota.Rota{}, canRead, time.Second)
+	assert.Assert(t, len(assigned) <= 4)
+	assigned, reading := simulate(&rota.Rota{}, canRead, 10*time.Second)
+	assert.Assert(t, len(assigned) <= 4, "%d assigned", len(assigned))
 	assert.Assert(t, reading >= 1 && reading <= 2)
 }
 
-// A hub that reads again asks nobody, and one that begins to fail asks nobody until what it knows gets old.
-func TestHubThatReadsAsksNobody(t *testing.T) {
+// A hub that can read assigns no router, and a hub that starts to fail assigns none until its data becomes stale.
+func TestHubThatCanReadAssignsNobody(t *testing.T) {
 	r := &rota.Rota{}
 	one := rota.Router{Name: "a"}
 	assert.Assert(t, !r.Asks(one, rota.Hub{Failing: true}, 0))
@@ -63,12 +66,12 @@
 	assert.Assert(t, !r.Asks(one, rota.Hub{}, 2*step))
 }
 
-// A router that knows more is asked at once, however many were asked before.
-func TestWhoKnowsMoreIsAsked(t *testing.T) {
+// A router with newer data is assigned at once, however many have been assigned before.
+func TestRouterWithNewerDataIsAssigned(t *testing.T) {
 	r := &rota.Rota{}
 	h := rota.Hub{Failing: true, Starving: true}
 	for i := range 10 {
 		r.Asks(rota.Router{Name: fmt.Sprint(i)}, h, 0)
 	}
-	assert.Assert(t, r.Asks(rota.Router{Name: "knows", Newer: true}, h, 0))
+	assert.Assert(t, r.Asks(rota.Router{Name: "newer", Newer: true}, h, 0))
 }
