--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Entry is what an endpoint says of itself.
+// Entry is the registration that an endpoint writes about itself.
 type Entry struct {
-	// ID names the endpoint; Born is when its process started, in Unix milliseconds, 0 when it does not say.
+	// ID names the endpoint. Born is the start time of its process in Unix milliseconds, or 0 if it is not given.
 	ID   string
 	Born int64
 	// Sequence counts the heartbeats of one process.
@@ -18,40 +18,42 @@
 	FailureDomain string
 	Slots         int
 	Leaving       bool
-	// Cold is for how much longer the endpoint bears only few requests, counted from when it wrote that.
+	// Cold is how much longer the endpoint can only handle few requests, measured from the time of writing.
 	Cold time.Duration
-	// ColdUnknown tells that the entry does not say it so that it can be read: what it said before holds.
+	// ColdUnknown is set when the entry has no readable value for Cold; the previous value stays in force.
 	ColdUnknown bool
 }
 
 // Directory keeps the newest entry of each endpoint; the zero value is empty.
 type Directory struct {
-	mu    sync.Mutex
-	known map[string]*record
-	// shakyUntil is when entries that vanish count as gone again.
-	shakyUntil time.Time
+	mu      sync.Mutex
+	records map[string]*record
+	// graceUntil is the time until which a vanished entry is kept in use.
+	graceUntil time.Time
 }
 
-// record is an entry with what outlives it.
+// record is an entry together with state that outlives the entry.
 type record struct {
 	entry Entry
-	// missingSince is set while the entry has vanished and may come back.
-	missingSince time.Time
-	// gone entries are kept for a while, so that an old heartbeat that arrives late does not revive them.
-	gone   bool
-	goneAt time.Time
+	// vanishedAt is set while the entry has vanished but may still come back.
+	vanishedAt time.Time
+	// Removed entries are kept as tombstones for a while, so that a delayed heartbeat does not revive them.
+	removed   bool
+	removedAt time.Time
 }
 
 const (
-	// Return is how long a vanished entry may take to come back after an outage of the store. The platform promises
-	// about two seconds; the rest is for the reader's own period.
-	Return = 2300 * time.Millisecond
-	// remember is how long a process that has gone stays known: longer than any heartbeat is under way.
-	remember = 30 * time.Second
+	// VanishedGrace is how long after a store outage a vanished entry may take to come back. The platform promises
+	// about two seconds; the remainder covers the reader's own polling period.
+	VanishedGrace = 2300 * time.Millisecond
+	// tombstoneRetention is how long a removed process stays known. It must exceed the time that any heartbeat can
+	// be in transit.
+	tombstoneRetention = 30 * time.Second
 )
 
-// Put takes an entry and tells whether it changed what may be used. Heartbeats of an earlier process, and those
-// overtaken by newer ones, change nothing: a leaving endpoint must not come back by a delayed word that it is ready.
+// Put stores an entry and returns whether the set of usable endpoints changed. Heartbeats of an earlier process,
+// and those overtaken by newer ones, are ignored: a delayed heartbeat must not make a leaving endpoint usable
+// again.
 func (d *Directory) Put(e Entry) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,19 +61,19 @@
 }
 
 func (d *Directory) put(e Entry) (changed bool) {
-	if d.known == nil {
-		d.known = map[string]*record{}
+	if d.records == nil {
+		d.records = map[string]*record{}
 	}
-	r := d.known[e.ID]
+	r := d.records[e.ID]
 	if r == nil {
-		d.known[e.ID] = &record{entry: e}
+		d.records[e.ID] = &record{entry: e}
 		return true
 	}
 	if r.outdated(e) {
 		return false
 	}
-	back := r.gone || !r.missingSince.IsZero()
-	if r.gone && e.Born == r.entry.Born && !r.returns(e) {
+	reappeared := r.removed || !r.vanishedAt.IsZero()
+	if r.removed && e.Born == r.entry.Born && !r.revivedBy(e) {
 		return false
 	}
 	// A leaving mark holds for the rest of the process's life.
@@ -81,15 +83,15 @@
 	if e.ColdUnknown && e.Born == r.entry.Born {
 		e.Cold = r.entry.Cold
 	}
-	same := e
-	same.Sequence = r.entry.Sequence
-	changed = back || same != r.entry
-	d.known[e.ID] = &record{entry: e}
+	unsequenced := e
+	unsequenced.Sequence = r.entry.Sequence
+	changed = reappeared || unsequenced != r.entry
+	d.records[e.ID] = &record{entry: e}
 	return changed
 }
 
-// outdated tells whether the entry is older than what is known. Counts start anew with each process, so they are only
-// compared within one.
+// outdated returns whether the entry is older than the known one. Sequence numbers restart with each process, so
+// they are compared only within one process.
 func (r *record) outdated(e Entry) bool {
 	if e.Born != r.entry.Born {
 		return e.Born < r.entry.Born
@@ -97,14 +99,16 @@
 	return e.Sequence < r.entry.Sequence
 }
 
-// returns tells whether the word of a process that has gone shows that it is back. A router that has just regained the
-// store still lists what vanished meanwhile; its word is no newer than what was known when the entry went.
-func (r *record) returns(e Entry) bool {
+// revivedBy returns whether the entry of a removed process shows that the process is back. A router that has just
+// regained access to the store may still list an entry that has vanished meanwhile; such an entry is no newer than
+// the one that was removed.
+func (r *record) revivedBy(e Entry) bool {
 	return !r.entry.Leaving && e.Sequence > r.entry.Sequence
 }
 
-// Remove notes that an entry has vanished and tells whether that changed what may be used. While the store has just
-// been away, the endpoint may be alive and about to register again, so it stays in use until Settle gives it up.
+// Remove records that an entry has vanished and returns whether the set of usable endpoints changed. Shortly after
+// a store outage the endpoint may still be alive and about to register again, so it stays usable until
+// ExpireVanished removes it.
 func (d *Directory) Remove(id string, now time.Time) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,42 +116,44 @@
 }
 
 func (d *Directory) remove(id string, now time.Time) (changed bool) {
-	r := d.known[id]
-	if r == nil || r.gone {
+	r := d.records[id]
+	if r == nil || r.removed {
 		return false
 	}
-	if now.Before(d.shakyUntil) && !r.entry.Leaving {
-		if r.missingSince.IsZero() {
-			r.missingSince = now
+	if now.Before(d.graceUntil) && !r.entry.Leaving {
+		if r.vanishedAt.IsZero() {
+			r.vanishedAt = now
 		}
 		return false
 	}
-	r.gone, r.goneAt = true, now
+	r.removed, r.removedAt = true, now
 	return true
 }
 
-// Drop takes another router's word that this process of an endpoint may have no new work.
-func (d *Directory) Drop(e Entry, now time.Time) (changed bool) {
+// RemoveProcess removes one process of an endpoint because another router reports that it must not be given new
+// requests. It returns whether the set of usable endpoints changed.
+func (d *Directory) RemoveProcess(e Entry, now time.Time) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.known[e.ID]
-	if r == nil || r.gone || r.entry.Born != e.Born {
+	r := d.records[e.ID]
+	if r == nil || r.removed || r.entry.Born != e.Born {
 		return false
 	}
-	r.gone, r.goneAt = true, now
+	r.removed, r.removedAt = true, now
 	r.entry.Leaving = r.entry.Leaving || e.Leaving
 	return true
 }
 
-// Leaving tells whether the endpoint said so, which holds for the rest of its process's life.
+// Leaving returns whether the endpoint has announced that it is leaving, which holds for the rest of its process's
+// life.
 func (d *Directory) Leaving(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.known[id]
+	r := d.records[id]
 	return r != nil && r.entry.Leaving
 }
 
-// Replace takes the whole list as it stands; what it lacks has vanished.
+// Replace stores the complete list of entries; entries that it lacks have vanished.
 func (d *Directory) Replace(entries []Entry, now time.Time) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +162,7 @@
 		listed[e.ID] = true
 		changed = d.put(e) || changed
 	}
-	for id := range d.known {
+	for id := range d.records {
 		if !listed[id] {
 			changed = d.remove(id, now) || changed
 		}
@@ -164,37 +170,37 @@
 	return changed
 }
 
-// Disturbed notes that the list could not be read. Entries lapse in an outage because endpoints cannot renew them;
-// taking them all as gone would empty whole services that are alive.
-func (d *Directory) Disturbed(now time.Time) {
+// ReadFailed records that the list could not be read. During an outage entries expire because endpoints cannot
+// renew them; removing them all would empty whole services whose endpoints are alive.
+func (d *Directory) ReadFailed(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shakyUntil = now.Add(Return)
+	d.graceUntil = now.Add(VanishedGrace)
 }
 
-// Settle gives up entries that have not come back in time, and tells whether there were any.
-func (d *Directory) Settle(now time.Time) (changed bool) {
+// ExpireVanished removes the entries that have not come back in time and returns whether there were any.
+func (d *Directory) ExpireVanished(now time.Time) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, r := range d.known {
-		if r.gone && now.Sub(r.goneAt) > remember {
-			delete(d.known, id)
+	for id, r := range d.records {
+		if r.removed && now.Sub(r.removedAt) > tombstoneRetention {
+			delete(d.records, id)
 		}
-		if now.Before(d.shakyUntil) || r.gone || r.missingSince.IsZero() {
+		if now.Before(d.graceUntil) || r.removed || r.vanishedAt.IsZero() {
 			continue
 		}
-		r.gone, r.goneAt = true, now
+		r.removed, r.removedAt = true, now
 		changed = true
 	}
 	return changed
 }
 
-// Usable are the endpoints that may take new work, by id.
+// Usable returns the endpoints that may be given new requests, sorted by ID.
 func (d *Directory) Usable() (entries []Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, r := range d.known {
-		if !r.gone && !r.entry.Leaving {
+	for _, r := range d.records {
+		if !r.removed && !r.entry.Leaving {
 			entries = append(entries, r.entry)
 		}
 	}
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -28,14 +28,14 @@
 	return e
 }
 
-func ids(d *directory.Directory) (list string) {
+func usableIDs(d *directory.Directory) (list string) {
 	for _, e := range d.Usable() {
 		list += e.ID
 	}
 	return list
 }
 
-func TestHeartbeatsChangeNothing(t *testing.T) {
+func TestHeartbeatIsNoChange(t *testing.T) {
 	var d directory.Directory
 	assert.Assert(t, d.Put(entry("a", 1, 1)))
 	assert.Assert(t, !d.Put(entry("a", 1, 2)))
@@ -44,95 +44,98 @@
 	assert.Assert(t, d.Put(moved))
 }
 
-// A leaving endpoint must get no new work because of a heartbeat that was sent before it said so and arrives after.
-func TestLeavingIsNotTakenBack(t *testing.T) {
+// A leaving endpoint must get no new requests because of a heartbeat that was sent before its leaving mark and
+// arrives after it.
+func TestLeavingIsPermanentForAProcess(t *testing.T) {
 	var d directory.Directory
 	d.Put(entry("a", 1, 5))
 	assert.Assert(t, d.Put(leaving(entry("a", 1, 6))))
 	assert.Assert(t, !d.Put(entry("a", 1, 4)))
-	assert.Equal(t, ids(&d), "")
+	assert.Equal(t, usableIDs(&d), "")
 	d.Put(entry("a", 1, 7))
-	assert.Equal(t, ids(&d), "")
+	assert.Equal(t, usableIDs(&d), "")
 	d.Remove("a", start)
 	d.Put(entry("a", 1, 8))
-	assert.Equal(t, ids(&d), "")
+	assert.Equal(t, usableIDs(&d), "")
 }
 
-// An endpoint that starts again under its name counts from the beginning; an old heartbeat of its life before must not
-// bring that life back.
-func TestNewLifeUnderTheSameName(t *testing.T) {
+// A restarted endpoint counts its heartbeats from 1 again. A late heartbeat of the earlier process must not
+// replace the new process.
+func TestNewProcessUnderTheSameID(t *testing.T) {
 	var d directory.Directory
 	d.Put(leaving(entry("a", 1, 50)))
 	assert.Assert(t, d.Put(entry("a", 2, 1)))
-	assert.Equal(t, ids(&d), "a")
+	assert.Equal(t, usableIDs(&d), "a")
 	assert.Assert(t, !d.Put(leaving(entry("a", 1, 51))))
-	assert.Equal(t, ids(&d), "a")
+	assert.Equal(t, usableIDs(&d), "a")
 }
 
-func TestVanishedEntryIsGoneWhenTheStoreWasWell(t *testing.T) {
+func TestVanishedEntryIsRemovedWhenStoreIsHealthy(t *testing.T) {
 	var d directory.Directory
 	d.Put(entry("a", 1, 1))
 	assert.Assert(t, d.Remove("a", start))
-	assert.Equal(t, ids(&d), "")
+	assert.Equal(t, usableIDs(&d), "")
 }
 
-// The store was down and endpoints could not renew their entries: all vanish at once although all live. They stay in
-// use until about two seconds after the store's return; those that have come back stay, the others are gone.
-func TestEntriesThatLapsedInAnOutage(t *testing.T) {
+// While the store is down, endpoints cannot renew their entries, and all of them vanish at once although the
+// endpoints are alive. They stay usable until about two seconds after the store is back; those that have not
+// registered again by then are removed.
+func TestEntriesThatExpireInAnOutageStayUsable(t *testing.T) {
 	var d directory.Directory
 	d.Put(entry("a", 1, 1))
 	d.Put(entry("b", 1, 1))
-	d.Disturbed(start)
+	d.ReadFailed(start)
 	back := start.Add(100 * time.Millisecond)
 	assert.Assert(t, !d.Replace(nil, back))
-	assert.Equal(t, ids(&d), "ab")
+	assert.Equal(t, usableIDs(&d), "ab")
 	d.Put(entry("a", 1, 2))
-	assert.Assert(t, !d.Settle(start.Add(2*time.Second)))
-	assert.Assert(t, d.Settle(start.Add(2500*time.Millisecond)))
-	assert.Equal(t, ids(&d), "a")
+	assert.Assert(t, !d.ExpireVanished(start.Add(2*time.Second)))
+	assert.Assert(t, d.ExpireVanished(start.Add(2500*time.Millisecond)))
+	assert.Equal(t, usableIDs(&d), "a")
 	d.Put(entry("b", 1, 2))
-	assert.Equal(t, ids(&d), "ab")
+	assert.Equal(t, usableIDs(&d), "ab")
 }
 
-// An endpoint that said it would leave is not kept for an outage.
+// An endpoint that announced that it is leaving is not kept during an outage.
 func TestLeavingEntryIsNotKeptInAnOutage(t *testing.T) {
 	var d directory.Directory
 	d.Put(leaving(entry("a", 1, 1)))
-	d.Disturbed(start)
+	d.ReadFailed(start)
 	d.Remove("a", start)
-	assert.Equal(t, ids(&d), "")
+	assert.Equal(t, usableIDs(&d), "")
 }
 
-// An endpoint has left without a word, and its entry was removed. Another router, which could not read the store then,
-// still lists it: that must not bring it back. It was sent requests for two seconds more so. Its own next heartbeat does.
-func TestOldWordDoesNotBringBack(t *testing.T) {
+// The entry of an endpoint that stopped without notice was removed. Another router that could not read the store
+// at that time still lists the entry, which must not make the endpoint usable again: it used to get requests for
+// two more seconds. The endpoint's own next heartbeat does make it usable.
+func TestStaleEntryDoesNotRevive(t *testing.T) {
 	var d directory.Directory
 	d.Put(entry("a", 1, 7))
 	d.Remove("a", start)
 	assert.Assert(t, !d.Put(entry("a", 1, 7)))
 	assert.Assert(t, !d.Replace([]directory.Entry{entry("a", 1, 3)}, start))
-	assert.Equal(t, ids(&d), "")
+	assert.Equal(t, usableIDs(&d), "")
 	assert.Assert(t, d.Put(entry("a", 1, 8)))
-	assert.Equal(t, ids(&d), "a")
+	assert.Equal(t, usableIDs(&d), "a")
 }
 
-// What another router says of an earlier process of an endpoint does not end the present one.
-func TestDropMeansOneProcess(t *testing.T) {
+// A report by another router about an earlier process of an endpoint does not remove the present process.
+func TestRemoveProcessAffectsOneProcess(t *testing.T) {
 	var d directory.Directory
 	d.Put(entry("a", 2, 1))
-	assert.Assert(t, !d.Drop(entry("a", 1, 9), start))
-	assert.Assert(t, d.Drop(entry("a", 2, 1), start))
-	assert.Equal(t, ids(&d), "")
+	assert.Assert(t, !d.RemoveProcess(entry("a", 1, 9), start))
+	assert.Assert(t, d.RemoveProcess(entry("a", 2, 1), start))
+	assert.Equal(t, usableIDs(&d), "")
 	d.Put(entry("a", 2, 2))
-	assert.Equal(t, ids(&d), "a")
-	assert.Assert(t, d.Drop(leaving(entry("a", 2, 2)), start))
+	assert.Equal(t, usableIDs(&d), "a")
+	assert.Assert(t, d.RemoveProcess(leaving(entry("a", 2, 2)), start))
 	d.Put(entry("a", 2, 3))
-	assert.Equal(t, ids(&d), "")
+	assert.Equal(t, usableIDs(&d), "")
 }
 
-// In whatever order the heartbeats of an endpoint's lives arrive, it is usable exactly when the newest one says so, or
-// said so before it was marked as leaving.
-func TestOrderOfArrivalDoesNotMatter(t *testing.T) {
+// In whatever order the heartbeats of an endpoint's processes arrive, the endpoint is usable exactly if the last
+// heartbeat of the newest process has no leaving mark.
+func TestArrivalOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var written []directory.Entry
 		for born := int64(1); born <= 3; born++ {
@@ -153,7 +156,7 @@
 			t.Fatalf("leaving %v, usable %v", newest.Leaving, usable)
 		}
 		if len(usable) > 0 && usable[0].Born != 3 {
-			t.Fatalf("an earlier life is in use: %v", usable[0])
+			t.Fatalf("an earlier process is in use: %v", usable[0])
 		}
 	})
 }
--- a/core/directory/doc.go
+++ b/core/directory/doc.go
@@ -1,2 +1,3 @@
-// Package directory keeps the endpoints that have registered themselves, and knows which of them may take new work.
+// Package directory keeps the endpoints that have registered themselves and determines which of them may be given
+// new requests.
 package directory
--- a/io/registry/keeper.go
+++ b/io/registry/keeper.go
@@ -49,7 +49,7 @@
 	for _, c := range changes {
 		switch {
 		case !c.Usable:
-			changed = k.directory.Drop(c.Entry, now) || changed
+			changed = k.directory.RemoveProcess(c.Entry, now) || changed
 		case !whole:
 			changed = k.directory.Put(c.Entry) || changed
 		}
@@ -130,14 +130,14 @@
 func (k *Keeper) Read(time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.tell(k.directory.Settle(time.Now()))
+	k.tell(k.directory.ExpireVanished(time.Now()))
 }
 
 // Failed keeps vanished entries for a while, since endpoints could not renew them.
 func (k *Keeper) Failed(error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.directory.Disturbed(time.Now())
+	k.directory.ReadFailed(time.Now())
 }
 
 // tell hands on the usable endpoints, and notes and logs those that came and went.
