--- a/core/keyed/doc.go
+++ b/core/keyed/doc.go
@@ -1,2 +1,2 @@
-// Package keyed holds the records of a log that keeps the newest value of each key.
+// Package keyed defines the records of a log that is compacted by key: the log keeps the newest value of each key.
 package keyed
--- a/core/keyed/record.go
+++ b/core/keyed/record.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Record is one write: a key and its new value, or the key's removal.
+// Record is one write to the log: a key and its new value, or the removal of the key.
 type Record struct {
 	Key     string
 	Value   []byte
@@ -10,15 +10,16 @@
 	Removed bool
 }
 
-// Page is what one read brought: the records, and the offset to read on from.
+// Page is the result of one read: the records, and the offset to continue from.
 type Page struct {
 	Records []Record
 	Next    int64
 }
 
-// TrimmedError says that records from Want on are no longer kept, so that only the newest values can be read.
+// TrimmedError reports that the records from offset Want on are no longer kept. The newest value of each key can
+// still be read.
 type TrimmedError struct{ Want, First int64 }
 
 func (e TrimmedError) Error() string {
-	return fmt.Sprintf("the log keeps records from offset %d on, want %d", e.First, e.Want)
+	return fmt.Sprintf("records were trimmed: the log starts at offset %d, requested offset %d", e.First, e.Want)
 }
