--- a/core/freshness/doc.go
+++ b/core/freshness/doc.go
@@ -1,2 +1,2 @@
-// Package freshness tells whether the configuration was read recently enough to serve by it.
+// Package freshness determines whether the configuration was read recently enough to serve requests with it.
 package freshness
--- a/core/freshness/lease.go
+++ b/core/freshness/lease.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// Lease is the right to serve keyed requests by the configuration that this router knows.
+// Lease permits a router to serve requests that need a key with the configuration that it has.
 //
-// A key may be withdrawn while a router cannot read the configuration, because it is cut off, was suspended, or is
-// turned away. Each read proves that nothing newer existed when it was sent, so requests may be served by it for as
-// long as a withdrawn key may still be used, and no longer. The clock must run while the VM is suspended: a router
-// that wakes would otherwise serve with a key withdrawn in its sleep. The zero value has never been renewed.
+// A key may be withdrawn while a router cannot read the configuration because it is partitioned from the store,
+// was suspended, or is rejected by the store. A read proves that nothing newer existed at the time it was sent, so
+// it allows requests to be served for as long as a withdrawn key may still be used, and no longer. The clock must
+// keep running while the VM is suspended: otherwise a router would resume and accept a key that was withdrawn in
+// the meantime. The zero value has never been renewed.
 type Lease struct {
-	term    atomic.Int64
-	renewed atomic.Int64
+	term      atomic.Int64
+	renewedAt atomic.Int64
 }
 
-// SetTerm sets how long a read counts.
+// SetTerm sets how long the lease is valid after a read.
 func (l *Lease) SetTerm(term time.Duration) { l.term.Store(int64(term)) }
 
-// Renew notes a read that was sent at the time since boot; an older one changes nothing.
+// Renew records a read that was sent at the given time since boot. Reads older than the newest one are ignored.
 func (l *Lease) Renew(sent time.Duration) {
 	for {
-		old := l.renewed.Load()
-		if int64(sent) <= old || l.renewed.CompareAndSwap(old, int64(sent)) {
+		old := l.renewedAt.Load()
+		if int64(sent) <= old || l.renewedAt.CompareAndSwap(old, int64(sent)) {
 			return
 		}
 	}
 }
 
-// Age is how long ago the newest read was sent; known is false before the first.
+// Age returns the time since the newest read was sent; known is false before the first read.
 func (l *Lease) Age(now time.Duration) (age time.Duration, known bool) {
-	renewed := l.renewed.Load()
-	if renewed == 0 {
+	renewedAt := l.renewedAt.Load()
+	if renewedAt == 0 {
 		return 0, false
 	}
-	return now - time.Duration(renewed), true
+	return now - time.Duration(renewedAt), true
 }
 
-// Valid tells whether keyed requests may be served at the time since boot.
+// Valid returns whether requests that need a key may be served at the given time since boot.
 func (l *Lease) Valid(now time.Duration) bool {
 	age, known := l.Age(now)
 	return known && age < time.Duration(l.term.Load())
--- a/core/freshness/lease_test.go
+++ b/core/freshness/lease_test.go
@@ -9,7 +9,7 @@
 	"savoryfall/core/freshness"
 )
 
-func TestLease(t *testing.T) {
+func TestLeaseExpiresAfterTerm(t *testing.T) {
 	var l freshness.Lease
 	l.SetTerm(5 * time.Second)
 	assert.Assert(t, !l.Valid(time.Second))
@@ -22,8 +22,8 @@
 	assert.Equal(t, age, 2*time.Second)
 }
 
-// A VM is suspended for longer than a withdrawn key may be used. Its runtime's clock has not moved, but the time since
-// boot has: the first request after the wake must not be served.
+// A VM is suspended for longer than a withdrawn key may be used. The runtime's clock does not advance during the
+// suspension, but the time since boot does. The first request after the VM resumes must not be served.
 func TestSuspensionEndsTheLease(t *testing.T) {
 	var l freshness.Lease
 	l.SetTerm(5 * time.Second)
