--- a/core/routetable/doc.go
+++ b/core/routetable/doc.go
@@ -1,2 +1,3 @@
-// Package routetable holds a configuration that arrives whole, and finds the route and the client account of a request.
+// Package routetable indexes one complete version of the configuration, and looks up the route and the client
+// account of a request.
 package routetable
--- a/core/routetable/ranking.go
+++ b/core/routetable/ranking.go
@@ -2,52 +2,54 @@
 
 import "slices"
 
-// ranking orders requests by urgency. What the numbers of the priorities mean is the operator's affair; only their order
-// counts. The zero value knows none.
-type ranking struct {
-	// routes are the different priorities of the routes to each service, accounts those of all accounts, in order.
+// priorityIndex maps priorities to ranks. Operators choose the numbers of the priorities; only their order
+// matters. The zero value has no priorities.
+type priorityIndex struct {
+	// routes holds the distinct priorities of the routes to each service, accounts those of all accounts, both
+	// sorted.
 	routes   map[string][]int
 	accounts []int
 }
 
-func (k *ranking) addRoute(r *Route) {
-	if k.routes == nil {
-		k.routes = map[string][]int{}
+func (p *priorityIndex) addRoute(r *Route) {
+	if p.routes == nil {
+		p.routes = map[string][]int{}
 	}
 	for _, target := range r.Targets {
-		k.routes[target.Service] = insert(k.routes[target.Service], r.Priority)
+		p.routes[target.Service] = insertSorted(p.routes[target.Service], r.Priority)
 	}
 }
 
-func (k *ranking) addAccount(a *Account) {
+func (p *priorityIndex) addAccount(a *Account) {
 	if a.HasPriority {
-		k.accounts = insert(k.accounts, a.Priority)
+		p.accounts = insertSorted(p.accounts, a.Priority)
 	}
 }
 
-func insert(list []int, priority int) []int {
-	at, found := slices.BinarySearch(list, priority)
+func insertSorted(list []int, priority int) []int {
+	index, found := slices.BinarySearch(list, priority)
 	if found {
 		return list
 	}
-	return slices.Insert(list, at, priority)
+	return slices.Insert(list, index, priority)
 }
 
-// Rank is where a request stands among those to the service, 0 for the most urgent. The account's priority goes first;
-// among accounts of the same priority the route's decides. Taking the account's alone would make a draft and a quick
-// question equal wherever every account has a priority. An account without one comes with the least urgent.
+// Rank returns the priority rank of a request among the requests to the service; 0 is the most urgent. Requests
+// are ranked by the account's priority first, and by the route's among accounts of the same priority. With the
+// account's priority alone, a draft and a quick question would rank the same wherever every account has a
+// priority. An account without a priority ranks with the least urgent accounts.
 func (t *Table) Rank(service string, r *Route, a *Account) int {
-	routes, accounts := t.ranks.routes[service], t.ranks.accounts
+	routes, accounts := t.priorities.routes[service], t.priorities.accounts
 	if len(routes) == 0 {
 		routes = []int{r.Priority}
 	}
-	at, _ := slices.BinarySearch(routes, r.Priority)
+	routeRank, _ := slices.BinarySearch(routes, r.Priority)
 	if len(accounts) == 0 {
-		return at
+		return routeRank
 	}
-	of := len(accounts) - 1
+	accountRank := len(accounts) - 1
 	if a != nil && a.HasPriority {
-		of, _ = slices.BinarySearch(accounts, a.Priority)
+		accountRank, _ = slices.BinarySearch(accounts, a.Priority)
 	}
-	return of*len(routes) + at
+	return accountRank*len(routes) + routeRank
 }
--- a/core/routetable/ranking_test.go
+++ b/core/routetable/ranking_test.go
@@ -8,9 +8,10 @@
 	"savoryfall/core/routetable"
 )
 
-// Every account has a priority, and most the same: a router that took the account's alone would hold a draft and a quick
-// question for equals, so that drafts are refused in a surge of questions. The account's decides first, then the route's.
-func TestRankIsByAccountThenRoute(t *testing.T) {
+// Every account has a priority, and most have the same one. Ranking by the account's priority alone would treat a
+// draft and a quick question alike, so drafts would be refused in a surge of questions. The account's priority
+// decides first, then the route's.
+func TestRankOrdersByAccountThenRoute(t *testing.T) {
 	routes := []routetable.Route{
 		{Name: "draft", Priority: 0, Targets: []routetable.Target{{Service: "models"}}},
 		{Name: "question", Priority: 7, Targets: []routetable.Target{{Service: "models"}}},
--- a/core/routetable/table.go
+++ b/core/routetable/table.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Kind says what may be repeated of a request.
+// Kind determines whether a request may be repeated and whether its response is a stream.
 type Kind int
 
-// The kinds of routes. A stream may go on elsewhere only when its route is resumable; otherwise it runs once.
+// The kinds of routes. A stream may be continued on another endpoint only if its route is resumable; otherwise it
+// runs once.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
@@ -17,21 +18,21 @@
 	ResumableStream
 )
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable returns whether a request may run more than once.
 func (k Kind) Repeatable() bool { return k == Idempotent || k == ResumableStream }
 
-// Streaming tells whether the answer is a stream of events.
+// Streaming returns whether the response is a stream of events.
 func (k Kind) Streaming() bool { return k == Stream || k == ResumableStream }
 
-// Route is where the requests of a host and path prefix go, and within which bounds.
+// Route determines the targets and limits for the requests to a host and path prefix.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
 	Targets    []Target
-	// Timeout bounds how long a request is kept; Goal is when an answer has its full worth, Pause the longest
-	// pause between two events of a stream for which it is still on time.
+	// Timeout limits the total time of a request. Goal is the time within which a response has its full value to
+	// the client. Pause is the longest gap between two events of a stream that still counts as on time.
 	Timeout     time.Duration
 	Goal        time.Duration
 	Pause       time.Duration
@@ -41,7 +42,7 @@
 	Public bool
 }
 
-// Target is a service that serves a part of a route's requests, by weight.
+// Target is a service that handles a share of a route's requests in proportion to its weight.
 type Target struct {
 	Service string
 	Weight  float64
@@ -50,29 +51,29 @@
 // Service is a set of endpoints that serve the same requests.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections an endpoint takes from all callers together.
+	// MaxConnections limits the connections to one endpoint from all callers together.
 	MaxConnections int
-	// Engine tells that the endpoints are model engines; Slots is how many requests one runs at once.
+	// Engine is set if the endpoints are model engines. Slots is how many requests an engine runs concurrently.
 	Engine bool
 	Slots  int
-	// CacheTokens is how many tokens of prompts an engine keeps.
+	// CacheTokens is how many prompt tokens an engine keeps in its cache.
 	CacheTokens int
-	// ColdFor is how long an endpoint is cold after its start, ColdPerSecond how many requests it bears in that time, 0 for
-	// any number.
+	// ColdFor is how long an endpoint is cold after it has started. ColdPerSecond is the request rate that it can
+	// handle in that time; 0 means no limit.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 }
 
-// Account is a client account with the keys that show it.
+// Account is a client account and the keys that identify it.
 type Account struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route when HasPriority is set; 0 is the most urgent.
+	// Priority takes precedence over the route's if HasPriority is set; 0 is the most urgent.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a client may send.
+// Limits restrict what a client may send.
 type Limits struct {
 	MaxHeader     int
 	MaxBody       int64
@@ -80,69 +81,69 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of the configuration, indexed for look-up; it never changes.
+// Table is an immutable index of one version of the configuration.
 type Table struct {
-	version  int64
-	byHost   map[string][]*Route
-	services map[string]*Service
-	accounts map[string]*Account
-	keyed    bool
-	limits   Limits
-	routes   int
-	ranks    ranking
+	version       int64
+	byHost        map[string][]*Route
+	services      map[string]*Service
+	accountsByKey map[string]*Account
+	requiresKey   bool
+	limits        Limits
+	routeCount    int
+	priorities    priorityIndex
 }
 
-// Contents are what a table is built from.
+// Contents are the parts of the configuration that a Table is built from.
 type Contents struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	// Keyed tells that requests need a key unless their route is public.
+	// Keyed is set if requests need a key unless their route is public.
 	Keyed  bool
 	Limits Limits
 }
 
-// New indexes the contents.
+// New builds a table from the contents.
 func New(c Contents) *Table {
 	t := &Table{
 		version: c.Version, byHost: map[string][]*Route{}, services: map[string]*Service{},
-		accounts: map[string]*Account{}, keyed: c.Keyed, limits: c.Limits, routes: len(c.Routes),
+		accountsByKey: map[string]*Account{}, requiresKey: c.Keyed, limits: c.Limits, routeCount: len(c.Routes),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
-		t.ranks.addRoute(r)
+		t.priorities.addRoute(r)
 	}
 	for i := range c.Services {
 		t.services[c.Services[i].Name] = &c.Services[i]
 	}
 	for i := range c.Accounts {
-		t.ranks.addAccount(&c.Accounts[i])
+		t.priorities.addAccount(&c.Accounts[i])
 		for _, key := range c.Accounts[i].Keys {
-			t.accounts[key] = &c.Accounts[i]
+			t.accountsByKey[key] = &c.Accounts[i]
 		}
 	}
 	return t
 }
 
-// Version is the number of this configuration; newer ones are higher.
+// Version returns the version number of the configuration; newer versions have higher numbers.
 func (t *Table) Version() int64 { return t.version }
 
-// Routes is how many routes there are.
-func (t *Table) Routes() int { return t.routes }
+// Routes returns the number of routes.
+func (t *Table) Routes() int { return t.routeCount }
 
-// Limits bound what a client may send.
+// Limits returns the limits on what a client may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Keyed tells whether requests need a key unless their route is public.
-func (t *Table) Keyed() bool { return t.keyed }
+// Keyed returns whether requests need a key unless their route is public.
+func (t *Table) Keyed() bool { return t.requiresKey }
 
-// Service is the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services are the names of all services, in order.
+// Services returns the names of all services, sorted.
 func (t *Table) Services() (names []string) {
 	for name := range t.services {
 		names = append(names, name)
@@ -151,11 +152,11 @@
 	return names
 }
 
-// Account is the client account that holds the key, or nil.
-func (t *Table) Account(key string) *Account { return t.accounts[key] }
+// Account returns the client account that holds the key, or nil.
+func (t *Table) Account(key string) *Account { return t.accountsByKey[key] }
 
-// Route is the route with the longest prefix of the path among those of the host, or nil. A port in the host is
-// left out of the comparison.
+// Route returns the route of the host with the longest matching path prefix, or nil. A port in the host is
+// ignored.
 func (t *Table) Route(host, path string) (best *Route) {
 	host, _, _ = strings.Cut(host, ":")
 	for _, r := range t.byHost[strings.ToLower(host)] {
@@ -166,18 +167,18 @@
 	return best
 }
 
-// Target picks a service by weight; draw is uniform in [0, 1).
+// Target chooses a service by weight; draw is uniform in [0, 1).
 func (r *Route) Target(draw float64) string {
-	sum := 0.0
+	total := 0.0
 	for _, t := range r.Targets {
-		sum += t.Weight
+		total += t.Weight
 	}
-	at := draw * sum
+	remaining := draw * total
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if remaining < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		remaining -= t.Weight
 	}
 	if len(r.Targets) == 0 {
 		return ""
--- a/core/routetable/table_test.go
+++ b/core/routetable/table_test.go
@@ -8,8 +8,8 @@
 	"savoryfall/core/routetable"
 )
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
-	t1 := routetable.New(routetable.Contents{Routes: []routetable.Route{
+func TestRouteMatchesLongestPrefix(t *testing.T) {
+	table := routetable.New(routetable.Contents{Routes: []routetable.Route{
 		{Name: "all", Host: "A.example", PathPrefix: "/"},
 		{Name: "x", Host: "a.example", PathPrefix: "/x/"},
 		{Name: "xy", Host: "a.example", PathPrefix: "/x/y/"},
@@ -24,7 +24,7 @@
 		{"c.example", "/x/", ""},
 		{"", "/x/", ""},
 	} {
-		r := t1.Route(c.host, c.path)
+		r := table.Route(c.host, c.path)
 		got := ""
 		if r != nil {
 			got = r.Name
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestTargetsByWeight(t *testing.T) {
+func TestTargetsAreChosenByWeight(t *testing.T) {
 	r := routetable.Route{Targets: []routetable.Target{{Service: "a", Weight: 90}, {Service: "none"}, {Service: "b", Weight: 10}}}
 	assert.Equal(t, r.Target(0), "a")
 	assert.Equal(t, r.Target(0.89), "a")
