--- a/io/follow/follower.go
+++ b/io/follow/follower.go
@@ -15,174 +15,184 @@
 	"savoryfall/core/keyed"
 )
 
-// Topic is where records are read.
+// Topic reads the records of a topic.
 type Topic interface {
 	Newest(ctx context.Context) (p keyed.Page, err error)
 	Since(ctx context.Context, from int64, wait time.Duration) (p keyed.Page, err error)
 }
 
-// Sink takes what was read.
+// Sink receives the records that were read.
 type Sink interface {
-	// Replace takes the newest record of every key, Apply those that were written since.
+	// Replace receives the newest record of every key, Apply the records written since then.
 	Replace(records []keyed.Record)
 	Apply(records []keyed.Record)
-	// Read notes a read that was sent at the time since boot and found nothing newer than what was given.
+	// Read reports that a read sent at the given time since boot found nothing newer than the records already
+	// passed on.
 	Read(sent time.Duration)
-	// Failed notes a read that failed.
+	// Failed reports a read that failed.
 	Failed(err error)
 }
 
-// Options say how a topic is followed.
+// Options configure how a topic is followed.
 type Options struct {
-	// Name is that of the topic in logs.
+	// Name is the name of the topic in logs.
 	Name string
-	// Wait is how long a read waits at the end of the topic for a record.
+	// Wait is how long a read at the end of the topic waits for a new record.
 	Wait time.Duration
-	// Pause is the least time between two reads: a topic that changes many times a second is read in batches.
+	// Pause is the minimum time between two reads, so that a topic that changes many times a second is read in
+	// batches.
 	Pause time.Duration
-	// Grace is how long a router that was told of something newer waits to be given it before it reads itself.
+	// Grace is how long a router that knows of newer records waits to receive them from the hub before it reads
+	// them itself.
 	Grace time.Duration
-	// Stale is the age of what is known from which on a router reads for itself, when nobody reads for it.
+	// Stale is the age at which a router reads the topic itself, if nobody else reads for it.
 	Stale time.Duration
-	// First is how long a starting router that knows nothing waits for another to tell it.
+	// First is how long a starting router without data waits for another router to send it.
 	First time.Duration
-	// Clock is the time since boot, suspension included.
+	// Clock returns the time since boot, including time spent suspended.
 	Clock func() time.Duration
 }
 
-// Follower reads one topic for ever, itself or through the hub.
+// Follower follows one topic until it is stopped, with its own reads or through the hub.
 type Follower struct {
-	topic   Topic
-	sink    Sink
-	options Options
-	logger  log.Logger
-	cancel  context.CancelFunc
-	running background.Group
-	wake    chan struct{}
-
-	mu     sync.Mutex
-	next   int64
-	whole  bool
-	behind bool
-	lead   bool
-	// behindAt is when this router was told of something newer, by the clock.
-	behindAt time.Duration
-	known    time.Duration
-	// attended is when the hub answered last, firstBy until when a router that knows nothing waits for it.
-	attended time.Duration
-	firstBy  time.Duration
-
-	failed int
-	lostAt time.Time
+	topic      Topic
+	sink       Sink
+	options    Options
+	logger     log.Logger
+	cancel     context.CancelFunc
+	goroutines background.Group
+	wake       chan struct{}
+
+	mu         sync.Mutex
+	nextOffset int64
+	synced     bool
+	behind     bool
+	leader     bool
+	// behindSince is the clock time at which this router learned of newer records.
+	behindSince time.Duration
+	confirmedAt time.Duration
+	// hubAnsweredAt is when the hub last answered. startupDeadline is when a starting router without data stops
+	// waiting for it.
+	hubAnsweredAt   time.Duration
+	startupDeadline time.Duration
+
+	failures    int
+	failedSince time.Time
 }
 
 const (
-	// answerWithin is how much longer than it asked to wait a read may take. A connection that has gone silent shows
-	// no other sign, and the bound for a configuration to be in force is two seconds.
-	answerWithin = 700 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a failed read; it doubles, so that a store that is coming back
-	// is not met by all routers at once, yet is found within a second by the router that reads for the others.
-	retryFirst = 80 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// followFirst and followMost are the same for the others, who hear from the hub when the store is back: with the
-	// pauses of the hub, eighty routers made four of five calls of a day in its outages.
-	followFirst = 600 * time.Millisecond
-	followMost  = 2 * time.Second
-	// slowAnswer is what a read may take after failures, when the store is slow rather than away.
-	slowAnswer = 2 * time.Second
+	// answerTimeout is how much longer than the requested wait a read may take. There is no other sign of a
+	// connection that has gone silent, and a configuration must be in force within two seconds.
+	answerTimeout = 700 * time.Millisecond
+	// leaderRetryMin and leaderRetryMax bound the delay after a failed read. It doubles with each failure, so that
+	// routers do not all hit a recovering store at once, yet the router that reads for the others notices the
+	// recovery within a second.
+	leaderRetryMin = 80 * time.Millisecond
+	leaderRetryMax = 800 * time.Millisecond
+	// followerRetryMin and followerRetryMax are the bounds for the other routers, which learn from the hub that the
+	// store is back. With the hub's shorter delays, eighty routers made four of five of a day's calls during
+	// the store's outages.
+	followerRetryMin = 600 * time.Millisecond
+	followerRetryMax = 2 * time.Second
+	// slowAnswerTimeout is the read timeout after repeated failures, in case the store is slow rather than
+	// unavailable.
+	slowAnswerTimeout = 2 * time.Second
 )
 
-// New makes a follower that hands what it reads to the sink.
+// New returns a follower that passes the records it reads to the sink.
 func New(t Topic, s Sink, o Options, logger log.Logger) *Follower {
 	return &Follower{topic: t, sink: s, options: o, logger: logger, wake: make(chan struct{}, 1)}
 }
 
-// Start reads in the background until Stop.
+// Start follows the topic in the background until Stop.
 func (f *Follower) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.firstBy = f.options.Clock() + f.options.First
-	f.running.Go(func() { f.run(ctx) })
+	f.startupDeadline = f.options.Clock() + f.options.First
+	f.goroutines.Go(func() { f.run(ctx) })
 	return nil
 }
 
-// Unaided ends a starting router's wait: there is nobody that could tell it what the topic holds.
+// Unaided ends the startup wait because no other router can send the contents of the topic.
 func (f *Follower) Unaided() {
 	f.mu.Lock()
-	waits := !f.whole && f.firstBy > 0
-	f.firstBy = 0
+	waiting := !f.synced && f.startupDeadline > 0
+	f.startupDeadline = 0
 	f.mu.Unlock()
-	if waits {
-		f.rouse()
+	if waiting {
+		f.signal()
 	}
 }
 
-// Attend notes that the hub has just answered. While it does, this router reads nothing because of age: what the hub cannot
-// read it has others try, a few at a time, and hundreds of routers would only add to an outage.
+// Attend records that the hub has just answered. As long as it does, this router does not read because its data is
+// old: if the hub cannot read, it assigns a few other routers at a time to try, and reads by hundreds of routers
+// would only make an outage worse.
 func (f *Follower) Attend() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.attended = f.options.Clock()
+	f.hubAnsweredAt = f.options.Clock()
 }
 
-// Stop ends the reading.
+// Stop stops following.
 func (f *Follower) Stop(context.Context) error {
 	if f.cancel != nil {
 		f.cancel()
 	}
-	f.running.Stop()
+	f.goroutines.Stop()
 	return nil
 }
 
-// Lead sets whether this router reads for others, and so all the time; else it reads only what it is not told.
-func (f *Follower) Lead(lead bool) {
+// Lead sets whether this router reads for others. A leader reads continuously; other routers read only what they
+// do not receive from the hub.
+func (f *Follower) Lead(leader bool) {
 	f.mu.Lock()
-	changed := f.lead != lead
-	f.lead = lead
+	changed := f.leader != leader
+	f.leader = leader
 	f.mu.Unlock()
-	if changed && lead {
-		f.rouse()
+	if changed && leader {
+		f.signal()
 	}
 }
 
-// Known is up to which offset the topic is known, and when the read was sent that last showed that there was no more.
-func (f *Follower) Known() (next int64, sent time.Duration, ok bool) {
+// Known returns the offset up to which the topic is known, and the time of the read that last showed that there
+// was nothing newer; ok is false if the topic has not been read yet.
+func (f *Follower) Known() (nextOffset int64, sent time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.next, f.known, f.whole
+	return f.nextOffset, f.confirmedAt, f.synced
 }
 
-// Confirm notes that another router found the topic to end at the offset, by a read that was sent at the time since
-// boot. Where this router has not read that far, it reads unless it is given what it lacks.
-func (f *Follower) Confirm(next int64, sent time.Duration) {
+// Confirm records that another router found the end of the topic at nextOffset, with a read sent at the given time
+// since boot. If this router is behind that offset, it reads the missing records unless it receives them in time.
+func (f *Follower) Confirm(nextOffset int64, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.whole || f.next < next {
+	if !f.synced || f.nextOffset < nextOffset {
 		if !f.behind {
-			f.behindAt = f.options.Clock()
+			f.behindSince = f.options.Clock()
 		}
 		f.behind = true
-		f.rouse()
+		f.signal()
 		return
 	}
-	f.read(sent)
+	f.confirmRead(sent)
 }
 
-// Fed notes that another router has told all that changed up to the offset.
-func (f *Follower) Fed(next int64, sent time.Duration) {
+// Fed records that another router has sent all changes up to nextOffset.
+func (f *Follower) Fed(nextOffset int64, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next, f.whole = max(f.next, next), true
-	f.read(sent)
+	f.nextOffset, f.synced = max(f.nextOffset, nextOffset), true
+	f.confirmRead(sent)
 }
 
-func (f *Follower) read(sent time.Duration) {
+func (f *Follower) confirmRead(sent time.Duration) {
 	f.behind = false
-	f.known = max(f.known, sent)
+	f.confirmedAt = max(f.confirmedAt, sent)
 	f.sink.Read(sent)
 }
 
-func (f *Follower) rouse() {
+func (f *Follower) signal() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
@@ -191,174 +201,176 @@
 
 func (f *Follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := f.rest()
-		if rest > 0 {
-			background.Pause(ctx, rest, f.wake)
+		idleTime := f.idleTime()
+		if idleTime > 0 {
+			background.Pause(ctx, idleTime, f.wake)
 			continue
 		}
 		began := time.Now()
-		err := f.step(ctx)
+		err := f.readOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			// Nothing ends this pause sooner: what cannot be read is not read more often because it is wanted.
-			background.Pause(ctx, f.lost(err), nil)
+			// The wake channel is not used here: a request for newer records must not shorten the delay after a
+			// failure.
+			background.Pause(ctx, f.recordFailure(err), nil)
 			continue
 		}
-		f.regained()
+		f.recordSuccess()
 		background.Pause(ctx, f.options.Pause-time.Since(began), f.wake)
 	}
 }
 
-// rest is how long this router may rely on what it is told.
-func (f *Follower) rest() time.Duration {
+// idleTime returns how long this router may still rely on the hub before it reads itself.
+func (f *Follower) idleTime() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lead {
+	if f.leader {
 		return 0
 	}
 	now := f.options.Clock()
-	if !f.whole {
-		return f.firstBy - now
+	if !f.synced {
+		return f.startupDeadline - now
 	}
 	if f.behind {
-		return f.behindAt + f.options.Grace - now
+		return f.behindSince + f.options.Grace - now
 	}
-	return max(f.known, f.attended) + f.options.Stale - now
+	return max(f.confirmedAt, f.hubAnsweredAt) + f.options.Stale - now
 }
 
-// step makes one read. After a gap only the newest values tell what is in force.
-func (f *Follower) step(ctx context.Context) (err error) {
+// readOnce makes one read. If records have been trimmed unread, it starts over from the newest value of each key.
+func (f *Follower) readOnce(ctx context.Context) (err error) {
 	sent := f.options.Clock()
 	f.mu.Lock()
-	from, whole := f.next, f.whole
+	from, synced := f.nextOffset, f.synced
 	f.mu.Unlock()
 	var p keyed.Page
-	if whole {
-		p, err = f.since(ctx, from)
+	if synced {
+		p, err = f.readSince(ctx, from)
 	} else {
-		p, err = f.newest(ctx)
+		p, err = f.readNewest(ctx)
 	}
 	var trimmed keyed.TrimmedError
 	if errors.As(err, &trimmed) {
 		_ = f.logger.Log(field.Event, event.RecordsTrimmed, field.Topic, f.options.Name, field.Want, trimmed.Want, field.First, trimmed.First)
 		f.mu.Lock()
-		f.whole = false
+		f.synced = false
 		f.mu.Unlock()
-		if whole {
-			return f.step(ctx)
+		if synced {
+			return f.readOnce(ctx)
 		}
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	f.take(p, from, whole, sent)
+	f.applyPage(p, from, synced, sent)
 	return nil
 }
 
-// take hands on what was read, unless this router was told more in the meantime: older records would undo it.
-func (f *Follower) take(p keyed.Page, from int64, whole bool, sent time.Duration) {
+// applyPage passes a page to the sink, unless this router has received newer records during the read: older
+// records would undo them.
+func (f *Follower) applyPage(p keyed.Page, from int64, synced bool, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if whole && f.next != from {
+	if synced && f.nextOffset != from {
 		return
 	}
-	if whole {
+	if synced {
 		f.sink.Apply(p.Records)
-		f.next = max(f.next, p.Next)
+		f.nextOffset = max(f.nextOffset, p.Next)
 	} else {
 		f.sink.Replace(p.Records)
-		f.next, f.whole = p.Next, true
+		f.nextOffset, f.synced = p.Next, true
 	}
-	f.read(sent)
+	f.confirmRead(sent)
 }
 
-func (f *Follower) since(ctx context.Context, from int64) (p keyed.Page, err error) {
+func (f *Follower) readSince(ctx context.Context, from int64) (p keyed.Page, err error) {
 	wait := f.options.Wait
-	if f.failures() > 0 || !f.leads() {
-		// A read that is needed now must not wait for a record: after a failure it shows that the store is back,
-		// and without the hub it is what is known to be in force.
+	if f.failureCount() > 0 || !f.isLeader() {
+		// Do not wait for a new record when the result is needed now: after a failure it shows that the store is
+		// back, and without the hub it shows what is in force.
 		wait = 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+f.patience())
+	ctx, cancel := context.WithTimeout(ctx, wait+f.readTimeout())
 	defer cancel()
 	return f.topic.Since(ctx, from, wait)
 }
 
-func (f *Follower) leads() bool {
+func (f *Follower) isLeader() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lead
+	return f.leader
 }
 
-func (f *Follower) newest(ctx context.Context) (p keyed.Page, err error) {
-	ctx, cancel := context.WithTimeout(ctx, f.patience())
+func (f *Follower) readNewest(ctx context.Context) (p keyed.Page, err error) {
+	ctx, cancel := context.WithTimeout(ctx, f.readTimeout())
 	defer cancel()
 	return f.topic.Newest(ctx)
 }
 
-func (f *Follower) patience() time.Duration {
-	if f.failures() > 1 {
-		return slowAnswer
+func (f *Follower) readTimeout() time.Duration {
+	if f.failureCount() > 1 {
+		return slowAnswerTimeout
 	}
-	return answerWithin
+	return answerTimeout
 }
 
-func (f *Follower) lost(err error) (pause time.Duration) {
+func (f *Follower) recordFailure(err error) (pause time.Duration) {
 	f.sink.Failed(err)
-	if f.failures() == 0 {
-		f.lostAt = time.Now()
+	if f.failureCount() == 0 {
+		f.failedSince = time.Now()
 		_ = f.logger.Log(field.Event, event.StoreLost, field.Topic, f.options.Name, field.Err, err)
 	}
-	first, most := followFirst, followMost
-	if f.leads() {
-		first, most = retryFirst, retryMost
+	retryMin, retryMax := followerRetryMin, followerRetryMax
+	if f.isLeader() {
+		retryMin, retryMax = leaderRetryMin, leaderRetryMax
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failed++
-	pause = min(first<<min(f.failed-1, 8), most)
+	f.failures++
+	pause = min(retryMin<<min(f.failures-1, 8), retryMax)
 	return pause/2 + rand.N(pause/2)
 }
 
-func (f *Follower) regained() {
+func (f *Follower) recordSuccess() {
 	f.mu.Lock()
-	failed, next := f.failed, f.next
-	f.failed = 0
+	failures, nextOffset := f.failures, f.nextOffset
+	f.failures = 0
 	f.mu.Unlock()
-	if failed == 0 {
+	if failures == 0 {
 		return
 	}
-	_ = f.logger.Log(field.Event, event.StoreRegained, field.Topic, f.options.Name, field.Failures, failed,
-		field.AfterMs, time.Since(f.lostAt).Milliseconds(), field.Offset, next)
+	_ = f.logger.Log(field.Event, event.StoreRegained, field.Topic, f.options.Name, field.Failures, failures,
+		field.AfterMs, time.Since(f.failedSince).Milliseconds(), field.Offset, nextOffset)
 }
 
-func (f *Follower) failures() int {
+func (f *Follower) failureCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failed
+	return f.failures
 }
 
-// Wants tells whether there is something newer that this router has not read.
+// Wants returns whether there are newer records that this router has not read.
 func (f *Follower) Wants() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.behind || !f.whole
+	return f.behind || !f.synced
 }
 
-// Failing tells whether this router cannot read by itself.
-func (f *Follower) Failing() bool { return f.failures() > 0 }
+// Failing returns whether this router's own reads fail.
+func (f *Follower) Failing() bool { return f.failureCount() > 0 }
 
-// Given takes the newest record of every key from another router that has read up to the offset. What this router has read
-// itself beyond that is newer.
-func (f *Follower) Given(records []keyed.Record, next int64, sent time.Duration) {
+// Given applies the newest record of every key, from another router that has read up to nextOffset. The records
+// are ignored if this router has read further itself.
+func (f *Follower) Given(records []keyed.Record, nextOffset int64, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.whole || next >= f.next {
+	if !f.synced || nextOffset >= f.nextOffset {
 		f.sink.Replace(records)
 	}
-	f.next, f.whole = max(f.next, next), true
-	f.read(sent)
+	f.nextOffset, f.synced = max(f.nextOffset, nextOffset), true
+	f.confirmRead(sent)
 }
--- a/io/follow/follower_test.go
+++ b/io/follow/follower_test.go
@@ -15,54 +15,54 @@
 	"savoryfall/io/follow"
 )
 
-// topic is a script of a topic: records that grow, and failures.
-type topic struct {
-	mu      sync.Mutex
-	records []keyed.Record
-	fail    error
-	hang    bool
-	reads   int
-	newest  int
-	news    chan struct{}
+// fakeTopic is a topic whose records can be added and whose reads can be made to fail or hang.
+type fakeTopic struct {
+	mu          sync.Mutex
+	records     []keyed.Record
+	fail        error
+	hang        bool
+	reads       int
+	newestReads int
+	appended    chan struct{}
 }
 
-// grace is how long the followers wait to be given what is newer.
+// grace is how long the followers wait to receive newer records.
 const grace = 400 * time.Millisecond
 
-func newTopic() *topic { return &topic{news: make(chan struct{})} }
+func newFakeTopic() *fakeTopic { return &fakeTopic{appended: make(chan struct{})} }
 
-func (t *topic) put(key string) {
+func (t *fakeTopic) addRecord(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.records = append(t.records, keyed.Record{Key: key, Offset: int64(len(t.records))})
-	close(t.news)
-	t.news = make(chan struct{})
+	close(t.appended)
+	t.appended = make(chan struct{})
 }
 
-func (t *topic) set(fail error, hang bool) {
+func (t *fakeTopic) setFailure(fail error, hang bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fail, t.hang = fail, hang
 }
 
-func (t *topic) count() (reads int) {
+func (t *fakeTopic) takeReadCount() (reads int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	reads, t.reads = t.reads, 0
 	return reads
 }
 
-func (t *topic) Newest(ctx context.Context) (p keyed.Page, err error) {
+func (t *fakeTopic) Newest(ctx context.Context) (p keyed.Page, err error) {
 	t.mu.Lock()
-	t.newest++
+	t.newestReads++
 	t.mu.Unlock()
 	return t.Since(ctx, 0, 0)
 }
 
-func (t *topic) Since(ctx context.Context, from int64, wait time.Duration) (p keyed.Page, err error) {
+func (t *fakeTopic) Since(ctx context.Context, from int64, wait time.Duration) (p keyed.Page, err error) {
 	t.mu.Lock()
 	t.reads++
-	fail, hang, news := t.fail, t.hang, t.news
+	fail, hang, appended := t.fail, t.hang, t.appended
 	end := int64(len(t.records))
 	t.mu.Unlock()
 	if hang {
@@ -74,7 +74,7 @@
 	}
 	if from == end && wait > 0 {
 		select {
-		case <-news:
+		case <-appended:
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return p, ctx.Err()
@@ -86,63 +86,63 @@
 	return keyed.Page{Records: t.records[from:], Next: int64(len(t.records))}, nil
 }
 
-type sink struct {
-	mu     sync.Mutex
-	got    string
-	sent   time.Duration
-	failed int
+type fakeSink struct {
+	mu          sync.Mutex
+	keys        string
+	confirmedAt time.Duration
+	failures    int
 }
 
-func (s *sink) Replace(records []keyed.Record) {
+func (s *fakeSink) Replace(records []keyed.Record) {
 	s.mu.Lock()
-	s.got = ""
+	s.keys = ""
 	s.mu.Unlock()
 	s.Apply(records)
 }
 
-func (s *sink) Apply(records []keyed.Record) {
+func (s *fakeSink) Apply(records []keyed.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range records {
-		s.got += r.Key
+		s.keys += r.Key
 	}
 }
 
-func (s *sink) Read(sent time.Duration) {
+func (s *fakeSink) Read(confirmedAt time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sent = max(s.sent, sent)
+	s.confirmedAt = max(s.confirmedAt, confirmedAt)
 }
 
-func (s *sink) Failed(error) {
+func (s *fakeSink) Failed(error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failed++
+	s.failures++
 }
 
-func (s *sink) all() string {
+func (s *fakeSink) allKeys() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got
+	return s.keys
 }
 
-func (s *sink) age(now time.Duration) time.Duration {
+func (s *fakeSink) age(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now - s.sent
+	return now - s.confirmedAt
 }
 
-func inBubble(t *testing.T, test func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration)) {
-	startingWith(t, 0, test)
+func withFollower(t *testing.T, test func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration)) {
+	withStartupWait(t, 0, test)
 }
 
-// startingWith is a router that waits so long for a hub when it starts.
-func startingWith(t *testing.T, first time.Duration, test func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration)) {
+// withStartupWait tests a follower that waits for a hub for the given time when it starts.
+func withStartupWait(t *testing.T, first time.Duration, test func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration)) {
 	synctest.Test(t, func(*testing.T) {
 		began := time.Now()
 		now := func() time.Duration { return time.Hour + time.Since(began) }
-		tp, s := newTopic(), &sink{}
-		tp.put("a")
+		tp, s := newFakeTopic(), &fakeSink{}
+		tp.addRecord("a")
 		f := follow.New(tp, s, follow.Options{
 			Name: "t", Wait: 500 * time.Millisecond, Pause: 50 * time.Millisecond, Grace: grace, Stale: 1500 * time.Millisecond,
 			First: first, Clock: now,
@@ -153,14 +153,14 @@
 	})
 }
 
-// A router that reads for all has a record as soon as it is written, and never proves more than its last reads did.
-func TestLeaderReadsAtOnce(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// A leader has a record as soon as it is written, and its reads keep its data no older than a second.
+func TestLeaderReadsImmediately(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		f.Lead(true)
 		time.Sleep(700 * time.Millisecond)
-		tp.put("b")
+		tp.addRecord("b")
 		synctest.Wait()
-		assert.Equal(t, s.all(), "ab")
+		assert.Equal(t, s.allKeys(), "ab")
 		for range 50 {
 			time.Sleep(77 * time.Millisecond)
 			assert.Assert(t, s.age(now()) <= time.Second, "%v", s.age(now()))
@@ -168,176 +168,179 @@
 	})
 }
 
-// A router that is told by the hub reads nothing; when the hub falls silent it reads by itself in time for a
-// configuration to be in force two seconds after it was written.
-func TestFollowerReadsWhenTheHubFallsSilent(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// A router that gets updates from the hub does not read. When the hub goes silent, the router reads itself in time
+// for a configuration to be in force two seconds after it was written.
+func TestFollowerReadsWhenHubStopsReporting(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
-		tp.count()
+		tp.takeReadCount()
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
 			f.Confirm(1, now()-500*time.Millisecond)
 		}
-		assert.Equal(t, tp.count(), 0)
-		tp.put("b")
+		assert.Equal(t, tp.takeReadCount(), 0)
+		tp.addRecord("b")
 		time.Sleep(1900 * time.Millisecond)
-		assert.Equal(t, s.all(), "ab")
+		assert.Equal(t, s.allKeys(), "ab")
 	})
 }
 
-// The hub tells of a record that this router has not read, and does not give it: the router reads it within the grace, though
-// the hub goes on telling, and what the hub's word proves counts only then.
-func TestFollowerReadsWhatItLacks(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// The hub reports a record that this router has not read, but does not send it. The router reads the record after
+// the grace period although the hub keeps reporting it. Until then, the hub's reports do not refresh the age of
+// its data.
+func TestFollowerReadsMissingRecordsAfterGrace(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
-		tp.put("b")
+		tp.addRecord("b")
 		for range 8 {
-			assert.Equal(t, s.all(), "a")
+			assert.Equal(t, s.allKeys(), "a")
 			f.Confirm(2, now())
 			assert.Assert(t, s.age(now()) > 0)
 			time.Sleep(grace / 8)
 		}
 		time.Sleep(time.Millisecond)
-		assert.Equal(t, s.all(), "ab")
+		assert.Equal(t, s.allKeys(), "ab")
 		assert.Assert(t, s.age(now()) <= time.Millisecond)
 	})
 }
 
-// The hub gives what it told of: no router needs a call to the store for a change.
-func TestFollowerThatIsGivenWhatItLacksDoesNotRead(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// The hub sends the records that it reports, so routers make no call to the store for a change.
+func TestFollowerThatReceivesRecordsDoesNotRead(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
-		tp.put("b")
-		tp.count()
+		tp.addRecord("b")
+		tp.takeReadCount()
 		f.Confirm(2, now())
 		assert.Assert(t, f.Wants())
 		assert.Assert(t, !f.Failing())
 		time.Sleep(grace / 2)
 		f.Given([]keyed.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
 		time.Sleep(grace)
-		assert.Equal(t, tp.count(), 0)
-		assert.Equal(t, s.all(), "ab")
+		assert.Equal(t, tp.takeReadCount(), 0)
+		assert.Equal(t, s.allKeys(), "ab")
 	})
 }
 
-// Guards against what another router knew before that undoes what this one has read since.
-func TestGivenIsNotOlder(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// Guards against an older snapshot from another router undoing what this router has received since.
+func TestOlderSnapshotIsIgnored(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
 		f.Given([]keyed.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
 		f.Given([]keyed.Record{{Key: "a"}}, 1, now())
-		assert.Equal(t, s.all(), "ab")
+		assert.Equal(t, s.allKeys(), "ab")
 	})
 }
 
-// The store turns this router away while the hub goes on telling it, many times a second, that there is something newer.
-// It must not ask more often for that, and the hub's word must not prove what this router does not know. Once 30,000
-// calls were made so in nine seconds.
-func TestTurnedAwayRouterDoesNotAskMoreOften(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// The store rejects this router while the hub reports newer records many times a second. The reports must not make
+// the router call the store more often, which once caused 30,000 calls in nine seconds, and must not refresh the
+// age of data that the router does not have.
+func TestRejectedFollowerKeepsItsBackoff(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
-		tp.put("b")
-		tp.set(errors.New("turned away"), false)
-		tp.count()
+		tp.addRecord("b")
+		tp.setFailure(errors.New("rejected by the store"), false)
+		tp.takeReadCount()
 		for range 900 {
 			time.Sleep(10 * time.Millisecond)
 			f.Confirm(2, now())
 		}
-		assert.Assert(t, tp.count() < 20)
+		assert.Assert(t, tp.takeReadCount() < 20)
 		assert.Assert(t, s.age(now()) > 8*time.Second)
 		assert.Assert(t, f.Wants())
 		f.Given([]keyed.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
 		assert.Assert(t, !f.Wants())
-		assert.Equal(t, s.all(), "ab")
+		assert.Equal(t, s.allKeys(), "ab")
 		assert.Assert(t, s.age(now()) == 0)
 	})
 }
 
-// A read that was under way while the hub told of later changes must not undo them.
-func TestOvertakenReadIsDropped(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// A read that was in progress when the hub sent later changes must not undo them.
+func TestSupersededReadIsDropped(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		f.Lead(true)
 		time.Sleep(10 * time.Millisecond)
 		f.Fed(5, now())
-		tp.put("b")
+		tp.addRecord("b")
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, s.all(), "a")
+		assert.Equal(t, s.allKeys(), "a")
 		next, _, ok := f.Known()
 		assert.Assert(t, ok && next >= 5)
 	})
 }
 
-// A read that is never answered ends by time.
-func TestSilentStore(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, _ func() time.Duration) {
+// A read that is never answered times out.
+func TestUnansweredReadTimesOut(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, _ func() time.Duration) {
 		f.Lead(true)
 		time.Sleep(10 * time.Millisecond)
-		tp.set(nil, true)
+		tp.setFailure(nil, true)
 		time.Sleep(5 * time.Second)
-		assert.Assert(t, s.failures() >= 2)
-		tp.set(nil, false)
-		tp.put("b")
+		assert.Assert(t, s.failureCount() >= 2)
+		tp.setFailure(nil, false)
+		tp.addRecord("b")
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, s.all(), "ab")
+		assert.Equal(t, s.allKeys(), "ab")
 	})
 }
 
-// After records have expired unread only the newest values tell what is in force.
-func TestGapIsReadWhole(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, _ func() time.Duration) {
+// After unread records have been trimmed, the follower must read the newest value of each key.
+func TestTrimmedTopicIsReadFromNewestValues(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, _ func() time.Duration) {
 		f.Lead(true)
 		time.Sleep(10 * time.Millisecond)
-		tp.put("b")
-		tp.set(keyed.TrimmedError{Want: 1, First: 2}, false)
+		tp.addRecord("b")
+		tp.setFailure(keyed.TrimmedError{Want: 1, First: 2}, false)
 		time.Sleep(600 * time.Millisecond)
-		tp.set(nil, false)
+		tp.setFailure(nil, false)
 		time.Sleep(time.Second)
-		assert.Equal(t, s.all(), "ab")
-		assert.Assert(t, tp.newest > 1)
+		assert.Equal(t, s.allKeys(), "ab")
+		assert.Assert(t, tp.newestReads > 1)
 	})
 }
 
-func (s *sink) failures() int {
+func (s *fakeSink) failureCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failed
+	return s.failures
 }
 
-// The hub answers but cannot read the store. A router that it answers reads nothing because of age, however old what it knows gets:
-// hundreds of them only add to an outage. When the hub falls silent it reads.
-func TestRouterOfAHubThatAnswersDoesNotRead(t *testing.T) {
-	inBubble(t, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+// The hub answers but cannot read the store. A router that it answers does not read however old its data gets,
+// because reads by hundreds of routers would only make an outage worse. When the hub goes silent, the router
+// reads.
+func TestFollowerOfRespondingHubDoesNotRead(t *testing.T) {
+	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
-		tp.count()
+		tp.takeReadCount()
 		for range 30 {
 			f.Attend()
 			time.Sleep(300 * time.Millisecond)
 		}
-		assert.Equal(t, tp.count(), 0)
+		assert.Equal(t, tp.takeReadCount(), 0)
 		time.Sleep(1300 * time.Millisecond)
-		assert.Assert(t, tp.count() > 0)
+		assert.Assert(t, tp.takeReadCount() > 0)
 	})
 }
 
-// A starting router lets a hub tell it what the topic holds, and reads when there is none or the time is over.
-func TestStartingRouterWaitsForAHub(t *testing.T) {
+// A starting router waits for a hub to send the contents of the topic, and reads itself if there is no hub or the
+// wait is over.
+func TestStartingFollowerWaitsForHub(t *testing.T) {
 	const first = 2 * time.Second
-	startingWith(t, first, func(f *follow.Follower, tp *topic, s *sink, now func() time.Duration) {
+	withStartupWait(t, first, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(time.Second)
-		assert.Equal(t, tp.count(), 0)
-		f.Given([]keyed.Record{{Key: "told"}}, 1, now())
+		assert.Equal(t, tp.takeReadCount(), 0)
+		f.Given([]keyed.Record{{Key: "given"}}, 1, now())
 		f.Unaided()
 		time.Sleep(time.Second)
-		assert.Equal(t, tp.count(), 0)
-		assert.Equal(t, s.all(), "told")
+		assert.Equal(t, tp.takeReadCount(), 0)
+		assert.Equal(t, s.allKeys(), "given")
 	})
-	startingWith(t, first, func(f *follow.Follower, tp *topic, s *sink, _ func() time.Duration) {
+	withStartupWait(t, first, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, _ func() time.Duration) {
 		f.Unaided()
 		time.Sleep(time.Millisecond)
-		assert.Equal(t, s.all(), "a")
+		assert.Equal(t, s.allKeys(), "a")
 	})
-	startingWith(t, first, func(f *follow.Follower, tp *topic, s *sink, _ func() time.Duration) {
+	withStartupWait(t, first, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, _ func() time.Duration) {
 		time.Sleep(first + time.Millisecond)
-		assert.Equal(t, s.all(), "a")
+		assert.Equal(t, s.allKeys(), "a")
 	})
 }
--- a/io/follow/sinks.go
+++ b/io/follow/sinks.go
@@ -6,31 +6,31 @@
 	"savoryfall/core/keyed"
 )
 
-// Sinks are several that each take all that is read of a topic, in order.
+// Sinks passes everything that is read of a topic to several sinks, in order.
 type Sinks []Sink
 
-// Replace takes the newest record of every key.
+// Replace passes on the newest record of every key.
 func (s Sinks) Replace(records []keyed.Record) {
 	for _, sink := range s {
 		sink.Replace(records)
 	}
 }
 
-// Apply takes what was written since.
+// Apply passes on the records written since then.
 func (s Sinks) Apply(records []keyed.Record) {
 	for _, sink := range s {
 		sink.Apply(records)
 	}
 }
 
-// Read notes a read that found nothing newer.
+// Read passes on a read that found nothing newer.
 func (s Sinks) Read(sent time.Duration) {
 	for _, sink := range s {
 		sink.Read(sent)
 	}
 }
 
-// Failed notes a read that failed.
+// Failed passes on a read that failed.
 func (s Sinks) Failed(err error) {
 	for _, sink := range s {
 		sink.Failed(err)
