--- a/io/desired/doc.go
+++ b/io/desired/doc.go
@@ -1,2 +1,2 @@
-// Package desired keeps the configuration in force, as the platform's store tells it.
+// Package desired holds the configuration that is in force, as read from the platform's store.
 package desired
--- a/io/desired/keeper.go
+++ b/io/desired/keeper.go
@@ -13,37 +13,37 @@
 	"savoryfall/core/routetable"
 )
 
-// Decoder reads a configuration out of a record; ok is false for records that are something else.
+// Decoder decodes a configuration from a record; ok is false for records of another kind.
 type Decoder interface {
 	Decode(r keyed.Record) (t *routetable.Table, ok bool, err error)
 }
 
-// Keeper holds the newest configuration that was read.
+// Keeper holds the newest configuration that has been read.
 type Keeper struct {
-	decoder Decoder
-	lease   *freshness.Lease
-	logger  log.Logger
-	current atomic.Pointer[routetable.Table]
-	record  atomic.Pointer[keyed.Record]
-	changed func(t *routetable.Table)
+	decoder       Decoder
+	lease         *freshness.Lease
+	logger        log.Logger
+	current       atomic.Pointer[routetable.Table]
+	currentRecord atomic.Pointer[keyed.Record]
+	onChange      func(t *routetable.Table)
 }
 
-// New makes a keeper that renews the lease with each read and calls changed with each newer configuration.
-func New(d Decoder, l *freshness.Lease, changed func(t *routetable.Table), logger log.Logger) *Keeper {
-	return &Keeper{decoder: d, lease: l, changed: changed, logger: logger}
+// New returns a keeper that renews the lease with each read and calls onChange with each newer configuration.
+func New(d Decoder, l *freshness.Lease, onChange func(t *routetable.Table), logger log.Logger) *Keeper {
+	return &Keeper{decoder: d, lease: l, onChange: onChange, logger: logger}
 }
 
-// Current is the configuration in force, nil before the first.
+// Current returns the configuration in force, or nil before the first one.
 func (k *Keeper) Current() *routetable.Table { return k.current.Load() }
 
-// Record is the one that the configuration in force was read from, nil before the first.
-func (k *Keeper) Record() *keyed.Record { return k.record.Load() }
+// Record returns the record of the configuration in force, or nil before the first one.
+func (k *Keeper) Record() *keyed.Record { return k.currentRecord.Load() }
 
-// Replace takes the newest records.
+// Replace applies the newest record of every key.
 func (k *Keeper) Replace(records []keyed.Record) { k.Apply(records) }
 
-// Apply takes the newest configuration among the records. It only goes forward: a read that was overtaken by another
-// must not bring back a withdrawn key.
+// Apply puts the newest configuration among the records in force. Older versions are ignored: a read that was
+// overtaken by another one must not restore a withdrawn key.
 func (k *Keeper) Apply(records []keyed.Record) {
 	for _, r := range records {
 		t, ok, err := k.decoder.Decode(r)
@@ -52,19 +52,19 @@
 			continue
 		}
 		if ok {
-			k.take(t, r)
+			k.activate(t, r)
 		}
 	}
 }
 
-func (k *Keeper) take(t *routetable.Table, r keyed.Record) {
+func (k *Keeper) activate(t *routetable.Table, r keyed.Record) {
 	old := k.current.Load()
 	if old != nil && t.Version() <= old.Version() {
 		return
 	}
 	k.current.Store(t)
-	k.record.Store(&r)
-	k.changed(t)
+	k.currentRecord.Store(&r)
+	k.onChange(t)
 	from := int64(0)
 	if old != nil {
 		from = old.Version()
@@ -73,12 +73,13 @@
 		field.IdleMs, t.Limits().IdleTimeout.Milliseconds(), field.HeaderMs, t.Limits().HeaderTimeout.Milliseconds())
 }
 
-// Read renews the lease. Before the first configuration there is nothing to serve by.
+// Read renews the lease. Before the first configuration there is nothing to serve requests with, so the lease is
+// not renewed.
 func (k *Keeper) Read(sent time.Duration) {
 	if k.current.Load() != nil {
 		k.lease.Renew(sent)
 	}
 }
 
-// Failed changes nothing: the lease runs out by itself.
+// Failed does nothing: without successful reads the lease expires.
 func (k *Keeper) Failed(error) {}
