--- a/io/draining/doc.go
+++ b/io/draining/doc.go
@@ -1,2 +1,2 @@
-// Package draining keeps what the store says of failure domains that are drained.
+// Package draining tracks which failure domains are drained, as read from the platform's store.
 package draining
--- a/io/draining/keeper.go
+++ b/io/draining/keeper.go
@@ -13,38 +13,39 @@
 	"savoryfall/core/keyed"
 )
 
-// Decoder reads an order out of a record; ok is false for records that are something else. An order that cannot be read
-// still names its domain.
+// Decoder decodes a drain order from a record; ok is false for records of another kind. The domain is set even if
+// the rest of the order cannot be read.
 type Decoder interface {
 	Decode(r keyed.Record) (o drain.Order, ok bool, err error)
 }
 
-// Fleet is the endpoints that are drained.
-type Fleet interface {
-	// Drain takes the failure domains whose endpoints get no new work from now on.
+// Endpoints are the known endpoints, of which those in drained failure domains get no new requests.
+type Endpoints interface {
+	// Drain sets the failure domains whose endpoints get no new requests from now on.
 	Drain(domains []string, now time.Time)
-	// InDomain is how many endpoints of the failure domain are known.
+	// InDomain returns how many endpoints of the failure domain are known.
 	InDomain(domain string) int
 }
 
-// Keeper holds the newest orders that were read.
+// Keeper holds the newest drain orders that have been read.
 type Keeper struct {
-	decoder Decoder
-	fleet   Fleet
-	logger  log.Logger
-
-	mu      sync.Mutex
-	domains drain.Domains
-	last    []string
-	records map[string]keyed.Record
+	decoder   Decoder
+	endpoints Endpoints
+	logger    log.Logger
+
+	mu        sync.Mutex
+	domains   drain.Domains
+	announced []string
+	records   map[string]keyed.Record
 }
 
-// New makes a keeper that tells the fleet each time that what is drained changes.
-func New(d Decoder, f Fleet, logger log.Logger) *Keeper {
-	return &Keeper{decoder: d, fleet: f, logger: logger, records: map[string]keyed.Record{}}
+// New returns a keeper that updates the endpoints whenever the set of drained domains changes.
+func New(d Decoder, e Endpoints, logger log.Logger) *Keeper {
+	return &Keeper{decoder: d, endpoints: e, logger: logger, records: map[string]keyed.Record{}}
 }
 
-// Replace takes the newest record of every key. Of a domain whose record cannot be read, the last that could be holds.
+// Replace applies the newest record of every key. If a domain's record cannot be read, its last readable order
+// stays in force.
 func (k *Keeper) Replace(records []keyed.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -55,17 +56,17 @@
 		switch {
 		case !ok:
 		case err != nil:
-			k.unreadable(r, err)
+			k.logUnreadable(r, err)
 			kept = append(kept, o.Domain)
 		default:
 			orders = append(orders, o)
-			k.note(o, r)
+			k.saveRecord(o, r)
 		}
 	}
-	k.tell(k.domains.Replace(orders, kept))
+	k.notify(k.domains.Replace(orders, kept))
 }
 
-// Apply takes what was written since.
+// Apply applies the records written since the last read.
 func (k *Keeper) Apply(records []keyed.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,22 +77,22 @@
 			continue
 		}
 		if err != nil {
-			k.unreadable(r, err)
+			k.logUnreadable(r, err)
 			continue
 		}
-		k.note(o, r)
+		k.saveRecord(o, r)
 		changed = k.domains.Apply(o) || changed
 	}
-	k.tell(changed)
+	k.notify(changed)
 }
 
-// Read changes nothing: an order has no term.
+// Read does nothing: a drain order does not expire.
 func (k *Keeper) Read(time.Duration) {}
 
-// Failed changes nothing: what was ordered last holds.
+// Failed does nothing: the last orders stay in force.
 func (k *Keeper) Failed(error) {}
 
-// Records are those that drain a domain, for routers that this one reads for.
+// Records returns the records of the drained domains, for routers that this router reads for.
 func (k *Keeper) Records() (records []keyed.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,33 +102,33 @@
 	return records
 }
 
-func (k *Keeper) note(o drain.Order, r keyed.Record) {
+func (k *Keeper) saveRecord(o drain.Order, r keyed.Record) {
 	if o.Drained && r.Offset >= k.records[o.Domain].Offset {
 		k.records[o.Domain] = r
 	}
 }
 
-func (k *Keeper) unreadable(r keyed.Record, err error) {
+func (k *Keeper) logUnreadable(r keyed.Record, err error) {
 	_ = k.logger.Log(field.Event, event.OrderUnreadable, field.Offset, r.Offset, field.Err, err)
 }
 
-// tell hands on what is drained, and logs what changed with how many endpoints it is about: none shows a name that no domain
-// has.
-func (k *Keeper) tell(changed bool) {
+// notify passes on the drained domains and logs the changes. The logged number of endpoints is 0 if the name
+// matches no failure domain, such as a misspelled one.
+func (k *Keeper) notify(changed bool) {
 	if !changed {
 		return
 	}
 	drained := k.domains.Drained()
-	k.fleet.Drain(drained, time.Now())
+	k.endpoints.Drain(drained, time.Now())
 	for _, domain := range drained {
-		if !slices.Contains(k.last, domain) {
-			_ = k.logger.Log(field.Event, event.DomainDrained, field.Domain, domain, field.Listed, k.fleet.InDomain(domain), field.Offset, k.records[domain].Offset)
+		if !slices.Contains(k.announced, domain) {
+			_ = k.logger.Log(field.Event, event.DomainDrained, field.Domain, domain, field.Listed, k.endpoints.InDomain(domain), field.Offset, k.records[domain].Offset)
 		}
 	}
-	for _, domain := range k.last {
+	for _, domain := range k.announced {
 		if !slices.Contains(drained, domain) {
-			_ = k.logger.Log(field.Event, event.DomainBack, field.Domain, domain, field.Listed, k.fleet.InDomain(domain))
+			_ = k.logger.Log(field.Event, event.DomainBack, field.Domain, domain, field.Listed, k.endpoints.InDomain(domain))
 		}
 	}
-	k.last = drained
+	k.announced = drained
 }
