--- a/io/registry/doc.go
+++ b/io/registry/doc.go
@@ -1,2 +1,2 @@
-// Package registry keeps the directory of endpoints, as the platform's store tells it.
+// Package registry keeps the directory of endpoints up to date with the platform's store.
 package registry
--- a/io/registry/keeper.go
+++ b/io/registry/keeper.go
@@ -13,12 +13,12 @@
 	"savoryfall/core/keyed"
 )
 
-// Decoder reads the entry of an endpoint out of a record.
+// Decoder decodes the entry of an endpoint from a record.
 type Decoder interface {
 	Decode(r keyed.Record) (e directory.Entry, err error)
 }
 
-// Keeper fills the directory and tells when it changes.
+// Keeper updates the directory and reports its changes.
 type Keeper struct {
 	decoder Decoder
 	changes board.Changes
@@ -27,37 +27,38 @@
 
 	mu        sync.Mutex
 	directory directory.Directory
-	last      map[string]directory.Entry
-	// unclear is when the process of each endpoint started that does not say how long it is cold.
-	unclear map[string]int64
+	published map[string]directory.Entry
+	// coldUnknown holds, for each endpoint whose entry does not say how long it is cold, the start time of the
+	// process for which that was logged.
+	coldUnknown map[string]int64
 }
 
-// New makes a keeper that calls changed with the usable endpoints each time that they change.
+// New returns a keeper that calls changed with the usable endpoints whenever they change.
 func New(d Decoder, changed func(usable []directory.Entry), logger log.Logger) *Keeper {
 	return &Keeper{decoder: d, changed: changed, logger: logger}
 }
 
-// Changes are what routers are told that follow the endpoints through this one.
+// Changes returns the changes to send to routers that follow the endpoints through this one.
 func (k *Keeper) Changes() *board.Changes { return &k.changes }
 
-// Feed takes what another router tells; whole tells that it is all there is.
-func (k *Keeper) Feed(changes []board.Change, whole bool) {
+// Feed applies changes received from another router; complete is set if they are the complete list.
+func (k *Keeper) Feed(changes []board.Change, complete bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	changed := whole && k.directory.Replace(usable(changes), now)
+	changed := complete && k.directory.Replace(usableEntries(changes), now)
 	for _, c := range changes {
 		switch {
 		case !c.Usable:
 			changed = k.directory.RemoveProcess(c.Entry, now) || changed
-		case !whole:
+		case !complete:
 			changed = k.directory.Put(c.Entry) || changed
 		}
 	}
-	k.tell(changed)
+	k.publish(changed)
 }
 
-func usable(changes []board.Change) (entries []directory.Entry) {
+func usableEntries(changes []board.Change) (entries []directory.Entry) {
 	for _, c := range changes {
 		if c.Usable {
 			entries = append(entries, c.Entry)
@@ -66,7 +67,7 @@
 	return entries
 }
 
-// Replace takes the whole list.
+// Replace applies the complete list of entries.
 func (k *Keeper) Replace(records []keyed.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -74,16 +75,16 @@
 	for _, r := range records {
 		e, err := k.decoder.Decode(r)
 		if err != nil {
-			k.unreadable(r, err)
+			k.logUnreadable(r, err)
 			continue
 		}
-		k.checkCold(r, e)
+		k.logColdUnknown(r, e)
 		entries = append(entries, e)
 	}
-	k.tell(k.directory.Replace(entries, time.Now()))
+	k.publish(k.directory.Replace(entries, time.Now()))
 }
 
-// Apply takes what endpoints wrote since.
+// Apply applies the records that endpoints have written since the last read.
 func (k *Keeper) Apply(records []keyed.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -91,7 +92,7 @@
 	for _, r := range records {
 		changed = k.apply(r) || changed
 	}
-	k.tell(changed)
+	k.publish(changed)
 }
 
 func (k *Keeper) apply(r keyed.Record) (changed bool) {
@@ -101,55 +102,55 @@
 	}
 	e, err := k.decoder.Decode(r)
 	if err != nil {
-		// The newest word under this name cannot be read, so nothing is known to be there.
-		k.unreadable(r, err)
+		// The newest entry of this endpoint cannot be read, so treat the endpoint as absent.
+		k.logUnreadable(r, err)
 		return k.directory.Remove(r.Key, now)
 	}
-	k.checkCold(r, e)
+	k.logColdUnknown(r, e)
 	return k.directory.Put(e)
 }
 
-// checkCold logs, once for each process, that an entry does not say for how long its endpoint is cold.
-func (k *Keeper) checkCold(r keyed.Record, e directory.Entry) {
-	born, known := k.unclear[e.ID]
+// logColdUnknown logs, once per process, that an entry does not say how long its endpoint is cold.
+func (k *Keeper) logColdUnknown(r keyed.Record, e directory.Entry) {
+	born, known := k.coldUnknown[e.ID]
 	if !e.ColdUnknown || known && born == e.Born {
 		return
 	}
-	if k.unclear == nil {
-		k.unclear = map[string]int64{}
+	if k.coldUnknown == nil {
+		k.coldUnknown = map[string]int64{}
 	}
-	k.unclear[e.ID] = e.Born
+	k.coldUnknown[e.ID] = e.Born
 	_ = k.logger.Log(field.Event, event.EntryColdUnreadable, field.Endpoint, e.ID, field.Born, e.Born, field.Offset, r.Offset)
 }
 
-func (k *Keeper) unreadable(r keyed.Record, err error) {
+func (k *Keeper) logUnreadable(r keyed.Record, err error) {
 	_ = k.logger.Log(field.Event, event.EntryUnreadable, field.Endpoint, r.Key, field.Offset, r.Offset, field.Err, err)
 }
 
-// Read gives up entries that have not come back after an outage.
+// Read removes the entries that have not come back after an outage.
 func (k *Keeper) Read(time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.tell(k.directory.ExpireVanished(time.Now()))
+	k.publish(k.directory.ExpireVanished(time.Now()))
 }
 
-// Failed keeps vanished entries for a while, since endpoints could not renew them.
+// Failed keeps vanished entries for a while, since endpoints cannot renew them during an outage.
 func (k *Keeper) Failed(error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.directory.ReadFailed(time.Now())
 }
 
-// tell hands on the usable endpoints, and notes and logs those that came and went.
-func (k *Keeper) tell(changed bool) {
+// publish passes on the usable endpoints, and records and logs those that were added, changed or removed.
+func (k *Keeper) publish(changed bool) {
 	if !changed {
 		return
 	}
 	usable := k.directory.Usable()
-	now := map[string]directory.Entry{}
+	current := map[string]directory.Entry{}
 	for _, e := range usable {
-		now[e.ID] = e
-		old, known := k.last[e.ID]
+		current[e.ID] = e
+		old, known := k.published[e.ID]
 		old.Sequence = e.Sequence
 		if known && old == e {
 			continue
@@ -159,14 +160,14 @@
 			_ = k.logger.Log(field.Event, event.EndpointUsable, field.Endpoint, e.ID, field.Service, e.Service, field.Address, e.Address, field.Born, e.Born)
 		}
 	}
-	for id, e := range k.last {
-		if _, still := now[id]; still {
+	for id, e := range k.published {
+		if _, still := current[id]; still {
 			continue
 		}
 		e.Leaving = k.directory.Leaving(id)
 		k.changes.Put(board.Change{Entry: e})
 		_ = k.logger.Log(field.Event, event.EndpointGone, field.Endpoint, id, field.Service, e.Service, field.Address, e.Address)
 	}
-	k.last = now
+	k.published = current
 	k.changed(usable)
 }
--- a/io/registry/keeper_test.go
+++ b/io/registry/keeper_test.go
@@ -12,30 +12,31 @@
 	"savoryfall/io/registry"
 )
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
-// A router that could not read the store follows another hub, which tells all that it knows: also that an endpoint is
-// leaving. That one is no entry that lapsed in the outage and may come back: it got new work for two seconds more.
-func TestWholeWordOfAHubEndsALeavingEndpoint(t *testing.T) {
+// A router that could not read the store follows another hub, which sends its complete list, including that an
+// endpoint is leaving. That endpoint must not be kept like one whose entry expired in the outage and may come
+// back: it used to get new requests for two more seconds.
+func TestFullHubUpdateRemovesLeavingEndpoint(t *testing.T) {
 	var usable []directory.Entry
 	k := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
 	stays, leaves, lapsed := directory.Entry{ID: "a", Born: 1}, directory.Entry{ID: "b", Born: 1}, directory.Entry{ID: "c", Born: 1}
 	k.Feed([]board.Change{{Entry: stays, Usable: true}, {Entry: leaves, Usable: true}, {Entry: lapsed, Usable: true}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{stays, leaves, lapsed})
-	k.Failed(errAway)
-	left := leaves
-	left.Leaving = true
-	k.Feed([]board.Change{{Entry: stays, Usable: true}, {Entry: left}}, true)
+	k.Failed(errUnavailable)
+	leaving := leaves
+	leaving.Leaving = true
+	k.Feed([]board.Change{{Entry: stays, Usable: true}, {Entry: leaving}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{stays, lapsed})
 }
 
-// The hub still lists the end of an earlier process; the one that has the name now keeps its work.
-func TestWholeWordOfAHubEndsOnlyTheProcessItNames(t *testing.T) {
+// The hub still lists that an earlier process has ended. The process that has the same name now must stay usable.
+func TestFullHubUpdateRemovesOnlyTheNamedProcess(t *testing.T) {
 	var usable []directory.Entry
 	k := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
 	now := directory.Entry{ID: "a", Born: 2}
 	k.Feed([]board.Change{{Entry: now, Usable: true}}, true)
-	k.Failed(errAway)
+	k.Failed(errUnavailable)
 	k.Feed([]board.Change{{Entry: directory.Entry{ID: "a", Born: 1, Leaving: true}}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{now})
 }
