--- a/core/endpoint/doc.go
+++ b/core/endpoint/doc.go
@@ -1,3 +1,3 @@
-// Package endpoint describes an endpoint, a model engine or a plain service, as a release note
-// lists it.
+// Package endpoint describes an endpoint, which is a model engine or a process of a plain service, as listed in a
+// release note.
 package endpoint
--- a/core/endpoint/endpoint.go
+++ b/core/endpoint/endpoint.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// KindEngine is a model engine.
+	// KindEngine is the kind of a model engine.
 	KindEngine = "engine"
-	// KindService is a plain service.
+	// KindService is the kind of a process of a plain service.
 	KindService = "service"
 )
 
 // Endpoint is one model engine or one process of a plain service.
 type Endpoint struct {
-	name          string
-	kind          string
-	address       string
-	failureDomain string
-	models        []string
-	service       string
-	weight        float64
-	checksFence   bool
-	echoes        bool
+	name            string
+	kind            string
+	address         string
+	failureDomain   string
+	models          []string
+	service         string
+	weight          float64
+	checksFence     bool
+	echoesAttemptID bool
 }
 
-// Read takes an endpoint from its table.
+// Read reads an endpoint from its TOML table and reports invalid values to the table.
 func Read(t *tomldoc.Table) (e Endpoint) {
 	e.name = t.Required("name")
 	e.kind = t.Choice("kind", KindEngine, KindEngine, KindService)
@@ -36,12 +36,12 @@
 	e.service = t.Text("service", "")
 	e.weight = t.Real("weight", 1, 0.001, 1000)
 	e.checksFence = t.Flag("checksFence", false)
-	e.echoes = t.Flag("echoes", e.kind == KindEngine)
-	e.check(t)
+	e.echoesAttemptID = t.Flag("echoes", e.kind == KindEngine)
+	e.validate(t)
 	return e
 }
 
-func (e Endpoint) check(t *tomldoc.Table) {
+func (e Endpoint) validate(t *tomldoc.Table) {
 	host, _, err := net.SplitHostPort(e.address)
 	if e.address != "" && (err != nil || net.ParseIP(host) == nil) {
 		t.Fault("address", e.address, "an IP number and a port, such as 10.0.0.7:8000")
@@ -54,29 +54,30 @@
 	}
 }
 
-// Name is unique among the endpoints.
+// Name returns the endpoint's name, which is unique among the endpoints.
 func (e Endpoint) Name() string { return e.name }
 
-// Kind is KindEngine or KindService.
+// Kind returns KindEngine or KindService.
 func (e Endpoint) Kind() string { return e.kind }
 
-// Address is an IP number and a port.
+// Address returns the endpoint's IP address and port.
 func (e Endpoint) Address() string { return e.address }
 
-// FailureDomain is where the endpoint stands.
+// FailureDomain returns the failure domain that the endpoint runs in.
 func (e Endpoint) FailureDomain() string { return e.failureDomain }
 
-// Models are the models that an engine may serve.
+// Models returns the models that an engine may serve.
 func (e Endpoint) Models() []string { return e.models }
 
-// Service is the plain service that the endpoint belongs to.
+// Service returns the name of the plain service that the endpoint belongs to.
 func (e Endpoint) Service() string { return e.service }
 
-// Weight is its capacity relative to the others.
+// Weight returns the endpoint's capacity relative to the other endpoints.
 func (e Endpoint) Weight() float64 { return e.weight }
 
-// ChecksFence tells whether it refuses an order with an old fencing number.
+// ChecksFence returns whether the endpoint rejects an order with an outdated fencing token.
 func (e Endpoint) ChecksFence() bool { return e.checksFence }
 
-// Echoes tells whether it repeats the attempt id in its answers, so that a crossed answer is seen.
-func (e Endpoint) Echoes() bool { return e.echoes }
+// Echoes returns whether the endpoint repeats the attempt ID in its responses, so that a response to another attempt
+// is detected.
+func (e Endpoint) Echoes() bool { return e.echoesAttemptID }
