--- a/core/service/doc.go
+++ b/core/service/doc.go
@@ -1,2 +1,2 @@
-// Package service describes a plain service and which of its calls may not be repeated.
+// Package service describes a plain service and which of its calls must not be repeated.
 package service
--- a/core/service/service.go
+++ b/core/service/service.go
@@ -6,14 +6,14 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Service is one plain service, reached by the prefix of its path.
+// Service is one plain service, identified by its path prefix.
 type Service struct {
 	name          string
 	path          string
 	notRepeatable []string
 }
 
-// Read takes a service from its table.
+// Read reads a service from its TOML table and reports invalid values to the table.
 func Read(t *tomldoc.Table) (s Service) {
 	s.name = t.Required("name")
 	s.path = t.Required("path")
@@ -30,17 +30,18 @@
 	return s
 }
 
-// Name is unique among the services.
+// Name returns the service's name, which is unique among the services.
 func (s Service) Name() string { return s.name }
 
-// Path is the prefix of the paths that belong to the service.
+// Path returns the path prefix of the service's requests.
 func (s Service) Path() string { return s.path }
 
-// Repeatable tells whether a call may be sent again; a listed path covers everything below it.
+// Repeatable returns whether a call may be sent more than once. A path listed as not repeatable includes all paths
+// below it.
 func (s Service) Repeatable(method, path string) bool {
 	for _, call := range s.notRepeatable {
-		m, p, _ := strings.Cut(call, " ")
-		if m == method && (path == p || strings.HasPrefix(path, strings.TrimSuffix(p, "/")+"/")) {
+		listedMethod, listedPath, _ := strings.Cut(call, " ")
+		if listedMethod == method && (path == listedPath || strings.HasPrefix(path, strings.TrimSuffix(listedPath, "/")+"/")) {
 			return false
 		}
 	}
