--- a/core/account/doc.go
+++ b/core/account/doc.go
@@ -1,2 +1,2 @@
-// Package account describes a client account as a release note lists it.
+// Package account describes a client account as listed in a release note.
 package account
