--- a/core/dispatch/avoid.go
+++ b/core/dispatch/avoid.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// suspectRate is the share of failures from which on an endpoint counts as one that fails.
-	suspectRate = 0.1
-	// mostAvoided is how many times their even share the endpoints that do not fail may get because others do.
-	mostAvoided = 1.5
+	// suspectFailureRate is the failure rate from which an endpoint counts as failing.
+	suspectFailureRate = 0.1
+	// maxShareOfOthers is how many times their even share the healthy endpoints may get because others fail.
+	maxShareOfOthers = 1.5
 )
 
-// judgeFailures takes how often attempts fail at each endpoint, and which part of the prompts may keep away from those that fail.
-// While few fail all do. When most fail, the others would be sent several times their share before any router sees them fill,
-// beyond the users' bound: only as many prompts leave as the others can take.
-func (c *contest) judgeFailures() {
-	c.fails = make([]float64, len(c.pool))
-	suspect := 0
+// computeFailureRates computes the failure rate of each endpoint, and the share of prompts that may avoid the failing
+// ones. While few endpoints fail, all prompts do. When most fail, the others would be sent several times their share,
+// beyond the users' bound on load, before any router sees them fill: only as many prompts move as the others can take.
+func (c *scoring) computeFailureRates() {
+	c.failureRates = make([]float64, len(c.pool))
+	failing := 0
 	for i, e := range c.pool {
-		c.fails[i] = e.failing(c.now)
-		if c.fails[i] >= suspectRate {
-			suspect++
+		c.failureRates[i] = e.failureRate(c.now)
+		if c.failureRates[i] >= suspectFailureRate {
+			failing++
 		}
 	}
-	c.avoided = 1
-	if suspect > 0 {
-		c.avoided = min(1, (mostAvoided-1)*float64(len(c.pool)-suspect)/float64(suspect))
+	c.avoidingShare = 1
+	if failing > 0 {
+		c.avoidingShare = min(1, (maxShareOfOthers-1)*float64(len(c.pool)-failing)/float64(failing))
 	}
 }
 
-// avoidance is the share of failures of an endpoint as it counts for this request. A request that was tried elsewhere before
-// does not put up with another failure.
-func (c *contest) avoidance(i int) float64 {
-	if c.avoided == 1 || len(c.q.Tried) > 0 || len(c.q.Prompt) == 0 {
-		return c.fails[i]
+// effectiveFailureRate returns the failure rate of an endpoint as it counts for this request. A retry always avoids
+// failing endpoints.
+func (c *scoring) effectiveFailureRate(i int) float64 {
+	if c.avoidingShare == 1 || len(c.q.Tried) > 0 || len(c.q.Prompt) == 0 {
+		return c.failureRates[i]
 	}
-	// Another hash than that of the rank, so that what moves is not what ranks first there.
-	if fraction(scatter.Mix(bits.RotateLeft64(c.q.Prompt.Key(), 32))^c.pool[i].hash) < c.avoided {
-		return c.fails[i]
+	// This hash differs from that of the rank, so that the prompts which move are not chosen by where they rank first.
+	if unitFraction(scatter.Mix(bits.RotateLeft64(c.q.Prompt.Key(), 32))^c.pool[i].hash) < c.avoidingShare {
+		return c.failureRates[i]
 	}
 	return 0
 }
--- a/core/dispatch/baseline_test.go
+++ b/core/dispatch/baseline_test.go
@@ -15,13 +15,14 @@
 	"savoryfall/core/warmth"
 )
 
-// heavy is a heavy day's requests at engines that really keep what they read: documents of unequal popularity, one of
-// which half of all ask for in the middle.
-type heavy struct {
+// workload is the requests of a busy day at engines that cache what they read: documents of unequal popularity, one of
+// which half of all requests ask for in the middle of the run.
+type workload struct {
 	random  *rand.Rand
 	engines []*engine
-	// read are the tokens that engines had to read, over are the requests that met an engine beyond the users' bound.
-	read, over int
+	// tokensRead counts the tokens that engines had to read, beyondBound the requests that met an engine beyond the
+	// users' bound.
+	tokensRead, beyondBound int
 }
 
 type engine struct {
@@ -31,25 +32,25 @@
 }
 
 const (
-	heavyEngines  = 9
-	heavyRequests = 6000
-	heavyDocs     = 60
-	heavyRate     = 60
-	heavyCache    = 700000
+	workloadEngines   = 9
+	workloadRequests  = 6000
+	workloadDocuments = 60
+	workloadRate      = 60
+	workloadCache     = 700000
 )
 
-func newHeavy() *heavy {
-	h := &heavy{random: rand.New(rand.NewPCG(1, 2))}
-	for i := range heavyEngines {
+func newWorkload() *workload {
+	h := &workload{random: rand.New(rand.NewPCG(1, 2))}
+	for i := range workloadEngines {
 		h.engines = append(h.engines, &engine{id: fmt.Sprint("models", i)})
 	}
 	return h
 }
 
-// choice sends a request to an engine and tells when it has ended.
-type choice func(chain prompt.Chain, now time.Time) (id string, ended func(now time.Time))
+// chooser sends a request to an engine and returns a function to call when it has ended.
+type chooser func(chain prompt.Chain, now time.Time) (id string, ended func(now time.Time))
 
-func (h *heavy) play(choose choice) {
+func (h *workload) run(choose chooser) {
 	type open struct {
 		e     *engine
 		at    time.Time
@@ -57,8 +58,8 @@
 	}
 	var running []open
 	now := start
-	for n := range heavyRequests {
-		now = now.Add(time.Second / heavyRate)
+	for n := range workloadRequests {
+		now = now.Add(time.Second / workloadRate)
 		kept := running[:0]
 		for _, o := range running {
 			if o.at.After(now) {
@@ -69,24 +70,24 @@
 			o.ended(now)
 		}
 		running = kept
-		doc := uint64(float64(heavyDocs) * math.Pow(h.random.Float64(), 1.5))
-		if n > heavyRequests/3 && n < heavyRequests/2 && n%2 == 0 {
+		doc := uint64(float64(workloadDocuments) * math.Pow(h.random.Float64(), 1.5))
+		if n > workloadRequests/3 && n < workloadRequests/2 && n%2 == 0 {
 			doc = 7
 		}
 		chain := document(doc, uint64(n))
 		id, ended := choose(chain, now)
 		e := h.engine(id)
-		if float64(e.running) > 2*float64(len(running))/heavyEngines+3 {
-			h.over++
+		if float64(e.running) > 2*float64(len(running))/workloadEngines+3 {
+			h.beyondBound++
 		}
-		h.read += chain.Tokens() - e.cache.Warm(chain)
-		e.cache.Read(chain, heavyCache)
+		h.tokensRead += chain.Tokens() - e.cache.Warm(chain)
+		e.cache.Read(chain, workloadCache)
 		e.running++
 		running = append(running, open{e: e, at: now.Add(time.Duration(200+h.random.IntN(2600)) * time.Millisecond), ended: ended})
 	}
 }
 
-func (h *heavy) engine(id string) *engine {
+func (h *workload) engine(id string) *engine {
 	for _, e := range h.engines {
 		if e.id == id {
 			return e
@@ -95,42 +96,42 @@
 	return nil
 }
 
-func nothing(time.Time) {}
+func noop(time.Time) {}
 
-// Against two plain ways to choose, on the same requests: the engine with least running reads nearly every prompt again,
-// and the one that ranks first for a prompt is loaded without bound when a prompt is hot. The dispatcher must read far
-// less than the one and hold the bound, which the other breaks.
+// Compares the dispatcher with two simple policies on the same requests. Least loaded reads nearly every prompt again;
+// sending each prompt to its first in rank loads an engine without bound when a prompt is popular. The dispatcher must
+// read far less than the former and hold the bound, which the latter breaks.
 func TestAgainstBaselines(t *testing.T) {
-	ours := newHeavy()
-	d, _ := fleet(heavyEngines)
-	ours.play(func(chain prompt.Chain, now time.Time) (string, func(time.Time)) {
+	ours := newWorkload()
+	d, _ := newDispatcher(workloadEngines)
+	ours.run(func(chain prompt.Chain, now time.Time) (string, func(time.Time)) {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: chain}, now)
 		a.Answered(dispatch.Load{}, now)
 		return a.Endpoint().ID, func(now time.Time) { a.End(dispatch.Served, now) }
 	})
-	least := newHeavy()
-	least.play(func(prompt.Chain, time.Time) (string, func(time.Time)) {
+	least := newWorkload()
+	least.run(func(prompt.Chain, time.Time) (string, func(time.Time)) {
 		best := least.engines[0]
 		for _, e := range least.engines {
 			if e.running < best.running {
 				best = e
 			}
 		}
-		return best.id, nothing
+		return best.id, noop
 	})
-	ranked := newHeavy()
-	ranked.play(func(chain prompt.Chain, _ time.Time) (string, func(time.Time)) {
+	ranked := newWorkload()
+	ranked.run(func(chain prompt.Chain, _ time.Time) (string, func(time.Time)) {
 		best, most := "", uint64(0)
 		for _, e := range ranked.engines {
 			if r := xxhash.Sum64String(fmt.Sprint(e.id, chain.Key())); best == "" || r > most {
 				best, most = e.id, r
 			}
 		}
-		return best, nothing
+		return best, noop
 	})
 	t.Logf("tokens read, beyond the bound: ours %d, %d; least loaded %d, %d; by rank %d, %d",
-		ours.read, ours.over, least.read, least.over, ranked.read, ranked.over)
-	assert.Assert(t, ours.read < least.read*2/3)
-	assert.Assert(t, ours.over <= heavyRequests*3/100)
-	assert.Assert(t, ranked.over > heavyRequests*3/100)
+		ours.tokensRead, ours.beyondBound, least.tokensRead, least.beyondBound, ranked.tokensRead, ranked.beyondBound)
+	assert.Assert(t, ours.tokensRead < least.tokensRead*2/3)
+	assert.Assert(t, ours.beyondBound <= workloadRequests*3/100)
+	assert.Assert(t, ranked.beyondBound > workloadRequests*3/100)
 }
--- a/core/dispatch/breaker.go
+++ b/core/dispatch/breaker.go
@@ -6,57 +6,60 @@
 )
 
 const (
-	// firstPause is for how long an endpoint gets nothing after it was silent or unreachable: as long as finding that
-	// out took one request.
-	firstPause = 500 * time.Millisecond
-	// longestPause bounds the pauses, which double: an endpoint that is back has work again after this at the latest.
-	// Lost ones leave the list within three heartbeats, some four seconds.
-	longestPause = 2 * time.Second
+	// initialPause is the first pause after an endpoint was silent or unreachable: as long as it took one request to
+	// find that out.
+	initialPause = 500 * time.Millisecond
+	// maxPause bounds the pauses, which double: an endpoint that recovers has work again after at most this long. Lost
+	// endpoints leave the directory within three heartbeats, about four seconds.
+	maxPause = 2 * time.Second
 )
 
-// breaker keeps requests from an endpoint where nobody is. A lost endpoint has no load, so without a breaker it looks
-// like the best of a busy service until the list drops it, and each request that it draws loses half a second or is
-// refused. After a pause one request tries it again. The zero value is closed and lets everything through.
+// breaker is a circuit breaker that keeps requests from an endpoint that does not answer. A lost endpoint has no load,
+// so without a breaker it looks like the best one of a busy service until the directory drops it, and each request
+// sent to it loses half a second or is refused. After a pause, one request probes it. The zero value is closed and
+// lets everything through.
 type breaker struct {
-	strikes int
-	until   time.Time
-	// trying is set while a request finds out whether the endpoint is back.
-	trying bool
+	trips     int
+	openUntil time.Time
+	// probing is set while a request finds out whether the endpoint is back.
+	probing bool
 }
 
-// open tells whether the endpoint gets nothing now.
-func (b *breaker) open(now time.Time) bool { return now.Before(b.until) }
+// isOpen reports whether the endpoint gets no requests now.
+func (b *breaker) isOpen(now time.Time) bool { return now.Before(b.openUntil) }
 
-// trip notes that nobody answered. What began before the pause and fails in it says nothing new.
+// trip records that the endpoint did not answer. A request that was sent before the pause and fails during it is no
+// new evidence.
 func (b *breaker) trip(now time.Time) {
-	if b.open(now) && !b.trying {
+	if b.isOpen(now) && !b.probing {
 		return
 	}
-	b.until = now.Add(min(firstPause<<min(b.strikes, 8), longestPause))
-	b.strikes++
-	b.trying = false
+	b.openUntil = now.Add(min(initialPause<<min(b.trips, 8), maxPause))
+	b.trips++
+	b.probing = false
 }
 
-// try notes that a request goes there. While the endpoint has not answered again, one is enough to find out.
-func (b *breaker) try(now time.Time) {
-	if b.strikes > 0 {
-		b.until, b.trying = now.Add(longestPause), true
+// onSend records that a request is sent. Until the endpoint has answered again, one request at a time is enough to
+// probe it.
+func (b *breaker) onSend(now time.Time) {
+	if b.trips > 0 {
+		b.openUntil, b.probing = now.Add(maxPause), true
 	}
 }
 
-// reset notes that the endpoint answered.
+// reset records that the endpoint answered.
 func (b *breaker) reset() { *b = breaker{} }
 
-// answering leaves out the endpoints where nobody answers, unless that is so everywhere: then it is this router that is
-// cut off, or there is nothing to lose.
-func answering(pool []*endpoint, now time.Time) (some []*endpoint) {
-	silent := func(e *endpoint) bool { return e.breaker.open(now) }
-	if !slices.ContainsFunc(pool, silent) {
+// withoutSilent leaves out the endpoints whose breakers are open, unless all are: then this router itself is cut off,
+// or there is nothing to lose.
+func withoutSilent(pool []*endpoint, now time.Time) (kept []*endpoint) {
+	isSilent := func(e *endpoint) bool { return e.breaker.isOpen(now) }
+	if !slices.ContainsFunc(pool, isSilent) {
 		return pool
 	}
-	some = slices.DeleteFunc(slices.Clone(pool), silent)
-	if len(some) == 0 {
+	kept = slices.DeleteFunc(slices.Clone(pool), isSilent)
+	if len(kept) == 0 {
 		return pool
 	}
-	return some
+	return kept
 }
--- a/core/dispatch/capacity.go
+++ b/core/dispatch/capacity.go
@@ -1,31 +1,32 @@
 package dispatch
 
-// queueSlots is how many times its slots a plain endpoint may be given before requests are refused: what waits longer
-// than another turn is late.
-const queueSlots = 2
+// queueFactor is how many times its slots a plain endpoint may be given before requests are refused: a request that
+// waits for more than one turn is late.
+const queueFactor = 2
 
-// places is how many requests an endpoint may be given, 0 when that is not known.
-func (c *contest) places(e *endpoint) int {
+// capacity returns how many requests an endpoint may be given, 0 if unknown.
+func (c *scoring) capacity(e *endpoint) int {
 	slots := e.entry.Slots
 	if slots == 0 {
 		slots = c.slots
 	}
 	if !c.engine {
-		slots *= queueSlots
+		slots *= queueFactor
 	}
 	return slots
 }
 
-// mostReading is for how many milliseconds an engine may have prompts to read when it is given another one: a quarter of
-// the usual aim. An engine can be out of time while it has places: what waits longer there is late, and delays the events
-// of all streams beside it. At 400 ms a third more tries ended by their deadline in surges of 3.5 and 12 times the usual.
-const mostReading = 200.0
+// maxWaitMs is the longest backlog of prompts, in milliseconds of reading, with which an engine is given another one:
+// a quarter of the usual latency goal. An engine can have free slots and no time left: a request that waits longer is
+// late, and delays the events of all streams on the engine. With 400 ms, a third more attempts ended by their deadline
+// in surges of 3.5 and 12 times the usual load.
+const maxWaitMs = 200.0
 
-// over tells whether an endpoint cannot take the request at all without letting it wait long.
-func (c *contest) over(e *endpoint) bool {
-	places := c.places(e)
-	return places > 0 && c.sure(e) >= float64(places) || c.reading(e) > mostReading
+// saturated reports whether an endpoint cannot take the request without making it wait long.
+func (c *scoring) saturated(e *endpoint) bool {
+	capacity := c.capacity(e)
+	return capacity > 0 && c.confirmedLoad(e) >= float64(capacity) || c.waitMs(e) > maxWaitMs
 }
 
-// reading is for how many milliseconds the endpoint has prompts to read before it begins with another one.
-func (c *contest) reading(e *endpoint) float64 { return float64(e.toRead(c.now)) / c.d.prefill.perMs() }
+// waitMs returns how many milliseconds of prompts the endpoint has to read before it begins with another one.
+func (c *scoring) waitMs(e *endpoint) float64 { return float64(e.backlog(c.now)) / c.d.prefill.perMs() }
--- a/core/dispatch/cold.go
+++ b/core/dispatch/cold.go
@@ -7,64 +7,64 @@
 	"savoryfall/core/coldshare"
 )
 
-// coldWindow is the time in which requests to a cold endpoint are counted: the second of the users' bound, and what an attempt
-// may take longer than the one before it to reach the endpoint.
+// coldWindow is the time in which requests to a cold endpoint are counted: the one second of the users' bound, plus
+// how much longer one attempt may take to reach the endpoint than the one before it.
 const coldWindow = 1050 * time.Millisecond
 
-// coldness is until when an endpoint is cold, by what it says and by what this router assumes, and which requests this router
-// sent it lately. The zero value is warm.
-type coldness struct {
-	until   time.Time
-	assumed time.Time
-	sent    []time.Time
+// warmup records until when an endpoint is cold, as it reports and as this router assumes, and which requests this
+// router sent it recently. The zero value is warm.
+type warmup struct {
+	until     time.Time
+	assumed   time.Time
+	sentTimes []time.Time
 }
 
-// left notes for how much longer the endpoint said that it is cold. That was some time ago, which is left out: a warm
+// setRemaining takes how much longer the endpoint reports to be cold. The age of the report is ignored: a warm
 // endpoint that is taken for cold gets a few requests less, a cold one that is taken for warm fails.
-func (c *coldness) left(d time.Duration, now time.Time) {
+func (c *warmup) setRemaining(d time.Duration, now time.Time) {
 	c.until = now.Add(d)
 }
 
-// assume takes the endpoint for cold for some time, whatever it says: what is heard next may be older than its start.
-func (c *coldness) assume(d time.Duration, now time.Time) { c.assumed = now.Add(d) }
+// assume takes the endpoint for cold for some time, whatever it reports: its next report may be older than its start.
+func (c *warmup) assume(d time.Duration, now time.Time) { c.assumed = now.Add(d) }
 
-func (c *coldness) cold(now time.Time) bool { return now.Before(c.until) || now.Before(c.assumed) }
+func (c *warmup) cold(now time.Time) bool { return now.Before(c.until) || now.Before(c.assumed) }
 
-// note counts a request. Those before an endpoint turns out to be cold count too.
-func (c *coldness) note(now time.Time) {
-	c.forget(now)
-	c.sent = append(c.sent, now)
+// countRequest counts a request. Those sent before an endpoint turns out to be cold count too.
+func (c *warmup) countRequest(now time.Time) {
+	c.dropOld(now)
+	c.sentTimes = append(c.sentTimes, now)
 }
 
-func (c *coldness) forget(now time.Time) {
+func (c *warmup) dropOld(now time.Time) {
 	old := 0
-	for old < len(c.sent) && now.Sub(c.sent[old]) >= coldWindow {
+	for old < len(c.sentTimes) && now.Sub(c.sentTimes[old]) >= coldWindow {
 		old++
 	}
-	c.sent = slices.Delete(c.sent, 0, old)
+	c.sentTimes = slices.Delete(c.sentTimes, 0, old)
 }
 
-// lately is how many requests count now.
-func (c *coldness) lately(now time.Time) int {
-	c.forget(now)
-	return len(c.sent)
+// recentRequests returns how many requests are in the window.
+func (c *warmup) recentRequests(now time.Time) int {
+	c.dropOld(now)
+	return len(c.sentTimes)
 }
 
-// SetColdBound takes how far beyond their rate endpoints may be sent requests while they are cold.
+// SetColdBound sets how far beyond their rate cold endpoints may be sent requests.
 func (d *Dispatcher) SetColdBound(b coldshare.Bound) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.coldBound = b
 }
 
-// SetFleet takes the routers that divide what cold endpoints bear.
+// SetFleet sets the routers that share the capacity of cold endpoints.
 func (d *Dispatcher) SetFleet(f coldshare.Fleet) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet = f
 }
 
-// coldFor is how long an endpoint of its service is cold after its start.
+// coldFor returns how long an endpoint of its service is cold after its start.
 func (d *Dispatcher) coldFor(e *endpoint) time.Duration {
 	if s := d.service(e.entry.Service); s != nil {
 		return s.ColdFor
@@ -72,12 +72,12 @@
 	return 0
 }
 
-// tooCold tells whether the endpoint is cold and has had all that this router may send it now. This holds however few
-// others are left: beyond what it bears it fails, and with it all that it was sent.
-func (c *contest) tooCold(e *endpoint) bool {
-	return c.coldPerSecond > 0 && e.cold.cold(c.now) && e.cold.lately(c.now) >= c.coldShare(e)
+// coldLimitReached reports whether the endpoint is cold and this router has used up its share. It applies even if no
+// other endpoint is left: beyond its limit a cold endpoint fails, and with it all requests that it has.
+func (c *scoring) coldLimitReached(e *endpoint) bool {
+	return c.coldPerSecond > 0 && e.cold.cold(c.now) && e.cold.recentRequests(c.now) >= c.coldLimit(e)
 }
 
-func (c *contest) coldShare(e *endpoint) int {
+func (c *scoring) coldLimit(e *endpoint) int {
 	return c.d.fleet.Share(e.hash, c.d.coldBound.Limit(c.coldPerSecond))
 }
--- a/core/dispatch/demand.go
+++ b/core/dispatch/demand.go
@@ -9,42 +9,44 @@
 )
 
 const (
-	// demandHalf is the time in which a request that came loses half its weight in the rate: a surge is known within
-	// about half a second, in which the less urgent fill the places.
-	demandHalf = 500 * time.Millisecond
-	// manyRefused is the share of refusals from which on a rank counts as full, fewRefused the one below which it no
-	// longer does. A caller that comes back to a rank between the two is more likely let in than not.
-	manyRefused = 0.25
-	fewRefused  = 0.1
-	// overAfter is after how long without a refusal a rank is no longer full, however many there were before.
-	overAfter = time.Second
-	// shortestHold is the least time for which a place counts as held.
-	shortestHold = time.Millisecond
+	// demandHalfLife is the half-life of arrivals in the rate: a surge is noticed within about half a second, in which
+	// the less urgent requests fill the capacity.
+	demandHalfLife = 500 * time.Millisecond
+	// fullRefusalRate is the share of refusals from which a rank counts as full, clearedRefusalRate the share below
+	// which it no longer does. A caller that retries at a rank between the two is more likely admitted than not.
+	fullRefusalRate    = 0.25
+	clearedRefusalRate = 0.1
+	// fullTimeout is how long after the last refusal a rank stops being full, whatever the share of refusals was
+	// before.
+	fullTimeout = time.Second
+	// minHoldTime is the least time for which a request counts as holding capacity.
+	minHoldTime = time.Millisecond
 )
 
-// demand is what was asked of a service lately, by rank. The zero value has seen nothing.
+// demand is the recent demand for a service, by rank. The zero value has seen nothing.
 type demand struct {
-	levels [mostRanks]level
-	at     time.Time
-	// heardAt is when the others' part was told.
-	heardAt time.Time
-	// held is for how many seconds a request holds its place, whatever its rank.
-	held average
+	levels  [maxRanks]level
+	fadedAt time.Time
+	// othersAt is when the demand of the other routers was last reported.
+	othersAt time.Time
+	// holdTime is how many seconds a request holds capacity, averaged over all ranks.
+	holdTime decayingMean
 }
 
-// mostRanks bounds the ranks that are told apart: some priorities of routes times some of accounts.
-const mostRanks = 32
+// maxRanks bounds the ranks that are distinguished: some priorities of routes times some of accounts.
+const maxRanks = 32
 
-// level is one rank's.
+// level is the demand of one rank.
 type level struct {
-	// came counts the requests, faded with time; running are those that hold a place, held for how many seconds they do.
-	came    float64
-	running int
-	held    average
-	// others is what the other routers have of both.
+	// arrivals counts the requests, decayed with time. running are those that hold capacity, holdTime for how many
+	// seconds they do.
+	arrivals float64
+	running  int
+	holdTime decayingMean
+	// others is the demand of the other routers.
 	others board.Demand
-	// refused counts those that were turned away, faded like came; fullSince is when they became many, refusedAt when
-	// the last one was turned away.
+	// refused counts the refused requests, decayed like arrivals. fullSince is when they became many, refusedAt when
+	// the last one was refused.
 	refused   float64
 	fullSince time.Time
 	refusedAt time.Time
@@ -63,48 +65,48 @@
 	return m
 }
 
-// level is that of a rank; the least urgent share one.
-func (m *demand) level(rank int) *level { return &m.levels[min(max(rank, 0), mostRanks-1)] }
+// level returns the demand of a rank; the least urgent ranks share one.
+func (m *demand) level(rank int) *level { return &m.levels[min(max(rank, 0), maxRanks-1)] }
 
 func (m *demand) fade(now time.Time) {
-	f := math.Exp2(-float64(now.Sub(m.at)) / float64(demandHalf))
+	f := math.Exp2(-float64(now.Sub(m.fadedAt)) / float64(demandHalfLife))
 	for i := range m.levels {
-		m.levels[i].came *= f
+		m.levels[i].arrivals *= f
 		m.levels[i].others.Came *= float32(f)
 		m.levels[i].refused *= f
 	}
-	m.at = now
+	m.fadedAt = now
 }
 
-func (m *demand) saw(rank int, account string, now time.Time) {
+func (m *demand) recordArrival(rank int, account string, now time.Time) {
 	m.fade(now)
 	l := m.level(rank)
-	l.came++
+	l.arrivals++
 	l.shares.Saw(account, now)
-	l.judge(now)
+	l.updateFull(now)
 }
 
-func (m *demand) turnedAway(rank int, now time.Time) {
+func (m *demand) recordRefusal(rank int, now time.Time) {
 	m.fade(now)
 	m.level(rank).refused++
 	m.level(rank).refusedAt = now
-	m.level(rank).judge(now)
+	m.level(rank).updateFull(now)
 }
 
-// judge notes when it begins that many are turned away, and when it is over.
-func (l *level) judge(now time.Time) {
+// updateFull records when refusals become frequent, and when that is over.
+func (l *level) updateFull(now time.Time) {
 	switch {
-	case l.refused < fewRefused*l.came || now.Sub(l.refusedAt) > overAfter:
+	case l.refused < clearedRefusalRate*l.arrivals || now.Sub(l.refusedAt) > fullTimeout:
 		l.fullSince = time.Time{}
-	case l.refused > manyRefused*l.came && l.fullSince.IsZero():
+	case l.refused > fullRefusalRate*l.arrivals && l.fullSince.IsZero():
 		l.fullSince = now
 	}
 }
 
-// fullFor is for how long many requests of the rank have been turned away.
+// fullFor returns for how long many requests of the rank have been refused.
 func (m *demand) fullFor(rank int, now time.Time) time.Duration {
 	l := m.level(rank)
-	if l.fullSince.IsZero() || now.Sub(l.refusedAt) > overAfter {
+	if l.fullSince.IsZero() || now.Sub(l.refusedAt) > fullTimeout {
 		return 0
 	}
 	return now.Sub(l.fullSince)
@@ -112,32 +114,32 @@
 
 func (m *demand) began(rank int) { m.level(rank).running++ }
 
-func (m *demand) ended(rank int, v Verdict, held time.Duration, now time.Time) {
+func (m *demand) ended(rank int, v Verdict, holdTime time.Duration, now time.Time) {
 	l := m.level(rank)
 	l.running--
 	if v == Refused || v == Unreachable {
 		return
 	}
-	s := max(held, shortestHold).Seconds()
-	l.held.add(s, now)
-	m.held.add(s, now)
+	s := max(holdTime, minHoldTime).Seconds()
+	l.holdTime.add(s, now)
+	m.holdTime.add(s, now)
 }
 
-// told is this router's part for the other routers, but the ranks of which there is nothing.
-func (m *demand) told(service uint32, now time.Time) (list []board.Demand) {
+// exchangeReports returns this router's demand for the other routers, without ranks that have next to none.
+func (m *demand) report(service uint32, now time.Time) (list []board.Demand) {
 	m.fade(now)
 	for rank, l := range m.levels {
-		if l.running > 0 || l.came >= idle {
-			list = append(list, board.Demand{Service: service, Rank: rank, Came: float32(l.came), Running: l.running})
+		if l.running > 0 || l.arrivals >= minReportedWeight {
+			list = append(list, board.Demand{Service: service, Rank: rank, Came: float32(l.arrivals), Running: l.running})
 		}
 	}
 	return list
 }
 
-// hear takes the part of the others: that of all routers, less this one's when it told.
-func (m *demand) hear(service uint32, total, own []board.Demand, now time.Time) {
+// setOthers sets the demand of the other routers: that of all routers, less what this one reported.
+func (m *demand) setOthers(service uint32, total, own []board.Demand, now time.Time) {
 	m.fade(now)
-	m.heardAt = now
+	m.othersAt = now
 	for i := range m.levels {
 		m.levels[i].others = board.Demand{}
 	}
@@ -154,54 +156,56 @@
 	}
 }
 
-// plan is what will happen to the places of a service in the time that is planned.
-type plan struct {
-	// released are places that become free, ahead requests that are more urgent, coming those of the rank itself.
-	released, ahead, coming float64
+// forecast is what is expected of the capacity of a service within the planning horizon.
+type forecast struct {
+	// released is the capacity that becomes free, moreUrgent the number of more urgent requests, sameRank that of the
+	// same rank.
+	released, moreUrgent, sameRank float64
 }
 
-// plan reckons for all routers together: what one of many sees is mostly chance, and made up to the whole it once kept a
-// third of the places free for nobody. A router that is alone plans for its own.
-func (m *demand) plan(rank int, now time.Time) (p plan) {
+// forecast plans for all routers together: what one of many sees is mostly chance, and extrapolated to the whole fleet
+// it once kept a third of the capacity unused. A router without recent reports plans for its own requests.
+func (m *demand) forecast(rank int, now time.Time) (p forecast) {
 	m.fade(now)
-	alone := now.Sub(m.heardAt) > othersAge
-	usual := m.held.last(foresight.Seconds())
-	planned := min(usual, foresight.Seconds())
+	ownOnly := now.Sub(m.othersAt) > othersMaxAge
+	meanHold := m.holdTime.lastOr(planningHorizon.Seconds())
+	horizon := min(meanHold, planningHorizon.Seconds())
 	for i := range m.levels {
-		perSecond, running := m.levels[i].all(alone)
-		held := max(m.levels[i].held.last(usual), planned)
-		p.released += running * planned / held
+		perSecond, running := m.levels[i].totals(ownOnly)
+		holdTime := max(m.levels[i].holdTime.lastOr(meanHold), horizon)
+		p.released += running * horizon / holdTime
 		switch {
-		case i < min(rank, mostRanks-1):
-			p.ahead += perSecond * planned
-		case i == min(rank, mostRanks-1):
-			p.coming = perSecond * planned
+		case i < min(rank, maxRanks-1):
+			p.moreUrgent += perSecond * horizon
+		case i == min(rank, maxRanks-1):
+			p.sameRank = perSecond * horizon
 		}
 	}
 	return p
 }
 
-// all are the requests a second and those that hold a place, of this router and the others unless it is alone.
-func (l *level) all(alone bool) (perSecond, running float64) {
-	came := l.came
+// totals returns the requests a second and those that hold capacity, of this router and, unless ownOnly is set, of the
+// others.
+func (l *level) totals(ownOnly bool) (perSecond, running float64) {
+	arrivals := l.arrivals
 	running = float64(l.running)
-	if !alone {
-		came += float64(l.others.Came)
+	if !ownOnly {
+		arrivals += float64(l.others.Came)
 		running += float64(l.others.Running)
 	}
-	return came * math.Ln2 / demandHalf.Seconds(), running
+	return arrivals * math.Ln2 / demandHalfLife.Seconds(), running
 }
 
-// unseen is the part of the requests that other routers get, of which this one hears late.
-func (m *demand) unseen(now time.Time) float64 {
-	if now.Sub(m.heardAt) > othersAge {
+// othersShare returns the share of the requests that other routers get, of which this one hears late.
+func (m *demand) othersShare(now time.Time) float64 {
+	if now.Sub(m.othersAt) > othersMaxAge {
 		return 0
 	}
 	m.fade(now)
 	var all, others float64
 	for i := range m.levels {
 		others += float64(m.levels[i].others.Came)
-		all += m.levels[i].came + float64(m.levels[i].others.Came)
+		all += m.levels[i].arrivals + float64(m.levels[i].others.Came)
 	}
 	return others / max(all, 1)
 }
--- a/core/dispatch/leaving_test.go
+++ b/core/dispatch/departure_test.go
@@ -11,12 +11,12 @@
 	"savoryfall/core/directory"
 )
 
-// replace takes the servers at the front out of the list and puts as many new ones on it. What has left serves on.
+// replace removes the first servers from the directory and adds new ones. The removed ones still serve.
 func (s *surge) replace(leave, come int) {
 	s.listed = s.listed[leave:]
 	for range come {
 		id := fmt.Sprint(s.service, "n", len(s.byID))
-		v := &server{id: id, loses: len(s.byID)%5 < 3, slots: s.servers[0].slots, queue: s.servers[0].queue}
+		v := &server{id: id, losesAnswers: len(s.byID)%5 < 3, slots: s.servers[0].slots, queue: s.servers[0].queue}
 		s.servers = append(s.servers, v)
 		s.byID[id] = v
 		s.listed = append(s.listed, directory.Entry{
@@ -28,39 +28,40 @@
 	}
 }
 
-// goAway takes away the servers that left, which are the first.
-func (s *surge) goAway(n int) {
+// stopOldest stops the first n servers, which have left the directory.
+func (s *surge) stopOldest(n int) {
 	for _, v := range s.servers[:n] {
-		v.step(s.now.Add(time.Hour))
+		v.advance(s.now.Add(time.Hour))
 	}
 	s.servers = slices.Clone(s.servers[n:])
 }
 
-// failSome has three in five of the servers lose a third of their answers.
-func (s *surge) failSome() {
+// loseAnswers has three in five of the servers lose a third of their answers.
+func (s *surge) loseAnswers() {
 	for i, v := range s.servers {
-		v.loses = i%5 < 3
+		v.losesAnswers = i%5 < 3
 	}
 }
 
-// Guards against requests at engines beyond the users' bound while others lose answers, are replaced and are taken away: those that leave hold less and
-// less, and the mean of all sinks below that of the ones in use. The figure in the log is how near it comes.
+// Guards against requests at engines beyond the users' bound while some engines lose answers, are replaced and
+// stopped: those that leave hold fewer and fewer requests, and the mean of all sinks below that of the ones in use.
+// The figure in the log shows how near it comes to the bound.
 func TestLoadIsEvenWhileEnginesLeave(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			s := newSurge(t, seed, 72, models, 84, 64)
-			s.ask(650, 1, 2*time.Second, s.stream)
-			s.failSome()
-			s.ask(950, 1, 2*time.Second, s.stream)
+			s.generate(650, 1, 2*time.Second, s.stream)
+			s.loseAnswers()
+			s.generate(950, 1, 2*time.Second, s.stream)
 			for range 4 {
 				s.replace(16, 8)
-				s.ask(950, 1, 1500*time.Millisecond, s.stream)
-				s.goAway(16)
+				s.generate(950, 1, 1500*time.Millisecond, s.stream)
+				s.stopOldest(16)
 			}
-			t.Logf("beyond the bound %v of %v, worst five seconds %.4f", s.over, s.reached, s.worst())
-			assert.Assert(t, s.worst() <= 0.03, "%.4f", s.worst())
+			t.Logf("beyond the bound %v of %v, worst five seconds %.4f", s.beyondBound, s.arrivals, s.worstShare())
+			assert.Assert(t, s.worstShare() <= 0.03, "%.4f", s.worstShare())
 		})
 	}
 }
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -22,9 +22,9 @@
 	plain  = "plain"
 )
 
-// fleet is a router before n engines and n plain endpoints. It draws the same in every run, so that a test which fails
-// does so every time.
-func fleet(n int) (d *dispatch.Dispatcher, entries []directory.Entry) {
+// newDispatcher returns a dispatcher for n engines and n plain endpoints. Its random choices are the same in every
+// run, so that a failing test fails every time.
+func newDispatcher(n int) (d *dispatch.Dispatcher, entries []directory.Entry) {
 	d = dispatch.New("a")
 	d.Seed(1)
 	d.Configure(routetable.New(routetable.Contents{Services: []routetable.Service{
@@ -40,17 +40,17 @@
 	return d, entries
 }
 
-// seeds is with how many seeds a test of what is left to chance is run, the same ones every time.
+// seeds is the number of seeds with which tests of random choices run, the same ones every time.
 const seeds = 50
 
-// eachSeed runs the test with every seed: one draw says little of how often something happens.
+// eachSeed runs the test with every seed: one run says little about how often something happens.
 func eachSeed(t *testing.T, test func(t *testing.T, seed uint64)) {
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { test(t, seed) })
 	}
 }
 
-// document is a prompt with a long shared part and one of its own.
+// document returns a prompt with a long shared part and one of its own.
 func document(doc, own uint64) prompt.Chain {
 	return prompt.Chain{{ID: 1, Tokens: 500}, {ID: 1000 + doc, Tokens: 10000}, {ID: 1 << 40 * own, Tokens: 300}}
 }
@@ -62,10 +62,10 @@
 	return a
 }
 
-// Requests that share a long prompt go where it is warm, on every router alike, while the load allows it.
-func TestSharedPromptStaysInOnePlace(t *testing.T) {
-	d1, _ := fleet(9)
-	d2, _ := fleet(9)
+// Requests that share a long prompt are sent where it is cached, by every router alike, while the load allows it.
+func TestSharedPromptStaysAtOneEngine(t *testing.T) {
+	d1, _ := newDispatcher(9)
+	d2, _ := newDispatcher(9)
 	for doc := range uint64(30) {
 		where := map[string]bool{}
 		for i := range uint64(5) {
@@ -80,10 +80,10 @@
 	}
 }
 
-// A prompt that everybody asks for at once must not load one engine beyond the bound: it spreads, and each further
-// engine fetches the shared part from one that holds it instead of reading it again.
+// A prompt that all clients ask for at once must not load one engine beyond the bound: it spreads, and each further
+// engine fetches the shared part from one that has it cached instead of reading it again.
 func TestHotPromptSpreadsByFetching(t *testing.T) {
-	d, _ := fleet(9)
+	d, _ := newDispatcher(9)
 	at := map[string]int{}
 	reads := 0
 	for i := range uint64(60) {
@@ -101,10 +101,10 @@
 	assert.Equal(t, reads, 1)
 }
 
-// A question shares 600 tokens, which its home holds. When the home is full, reading them elsewhere would hold up every
-// stream there for longer than fetching them does.
+// A question shares 600 tokens, which its home has cached. When the home is full, reading them elsewhere would delay
+// every stream there for longer than fetching them does.
 func TestShortSharedPartsAreFetchedToo(t *testing.T) {
-	d, _ := fleet(2)
+	d, _ := newDispatcher(2)
 	q := func(own uint64) dispatch.Query {
 		return dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: 1, Tokens: 600}, {ID: 100 + own, Tokens: 130}}}
 	}
@@ -115,17 +115,17 @@
 	assert.Equal(t, a.Donor(), home.Address)
 }
 
-// An engine comes, and is the home of a question whose shared part another engine has read. Other routers may have sent it
-// there already, but this one does not know: it has the part fetched. When the belief alone counted, the part was read a
-// second time at each new home.
+// A new engine becomes the home of a question whose shared part another engine has cached. Other routers may have sent
+// it there already, but this one does not know: it must have the part fetched. When the assumption alone counted, the
+// part was read a second time at each new home.
 func TestNewHomeFetchesWhatItIsOnlyBelievedToHold(t *testing.T) {
 	q := func(own uint64) dispatch.Query {
 		return dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: 1, Tokens: 700}, {ID: 100 + own, Tokens: 130}}}
 	}
-	_, entries := fleet(3)
-	full, _ := fleet(3)
+	_, entries := newDispatcher(3)
+	full, _ := newDispatcher(3)
 	home := choose(t, full, q(0), start).Endpoint()
-	d, _ := fleet(3)
+	d, _ := newDispatcher(3)
 	d.Update(without(entries, home.ID), start)
 	before := choose(t, d, q(1), start).Endpoint()
 	d.Update(entries, start)
@@ -136,10 +136,10 @@
 	assert.Equal(t, a.Donor(), before.Address)
 }
 
-// The load that other routers told of counts: an engine that they have filled is passed over, although this router has
-// nothing there.
+// The load reported by other routers counts: an engine that they have filled is passed over, although this router has
+// no requests there.
 func TestLoadOfOtherRoutersCounts(t *testing.T) {
-	d, _ := fleet(3)
+	d, _ := newDispatcher(3)
 	q := dispatch.Query{Service: models, Prompt: document(1, 1)}
 	home := choose(t, d, q, start)
 	own := d.Work(start)
@@ -151,12 +151,12 @@
 	assert.Assert(t, a.Endpoint().ID != home.Endpoint().ID)
 }
 
-// One of three endpoints fails every second request while its health looks good. After a few failures it must get
-// hardly anything, and be tried again when the failures have faded. It is among equals then and drawn by chance: that it
-// is drawn too seldom shows with some seeds only.
+// One of three endpoints fails every second request while its health checks pass. After a few failures it must get
+// hardly any requests, and be tried again when the failures have decayed. It is then chosen at random among equals: a
+// fault that makes it chosen too seldom shows with some seeds only.
 func TestGreyEndpointIsAvoidedAndTriedAgain(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		d, _ := fleet(3)
+		d, _ := newDispatcher(3)
 		d.Seed(seed)
 		now := start
 		share := func(requests int) (grey int) {
@@ -182,10 +182,10 @@
 	})
 }
 
-// All endpoints fail alike: none may be given up, since there is nothing better.
+// All endpoints fail alike: none may be given up, since none is better.
 func TestAllFailingStaysInUse(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		d, _ := fleet(3)
+		d, _ := newDispatcher(3)
 		d.Seed(seed)
 		used := map[string]int{}
 		for range 60 {
@@ -200,9 +200,9 @@
 	})
 }
 
-// When all slots and a queue as long are taken, more would only wait until too late: the request is refused at once.
+// When all slots and a queue of the same length are taken, the next request would be late: it is refused at once.
 func TestFullPlainServiceRefuses(t *testing.T) {
-	d, _ := fleet(2)
+	d, _ := newDispatcher(2)
 	for range 2 * 6 * 2 {
 		choose(t, d, dispatch.Query{Service: plain}, start)
 	}
@@ -211,10 +211,10 @@
 	assert.Equal(t, why, dispatch.ReasonFull)
 }
 
-// Engines have places, but each has so many prompts to read that the next one would wait for a quarter of its aim. Callers whose
-// requests were sent there left before the first event; told at once, they come back.
+// Engines have free slots, but each has so many prompts to read that the next one would wait for a quarter of its
+// latency goal. Clients whose requests were sent there left before the first event; refused at once, they retry later.
 func TestEnginesWithLongReadingRefuse(t *testing.T) {
-	d, _ := fleet(2)
+	d, _ := newDispatcher(2)
 	sent, last := 0, dispatch.Reason("")
 	for i := range uint64(64) {
 		a, why := d.Choose(dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: i, Tokens: 9000}}}, start)
@@ -227,12 +227,12 @@
 	assert.Equal(t, sent, 2*3, "more than 200 ms of reading at 100 tokens a millisecond")
 }
 
-func TestWhyThereIsNone(t *testing.T) {
-	d, entries := fleet(1)
+func TestReasonWithoutEndpoint(t *testing.T) {
+	d, entries := newDispatcher(1)
 	_, why := d.Choose(dispatch.Query{Service: "unknown"}, start)
-	assert.Equal(t, why, dispatch.ReasonNone)
+	assert.Equal(t, why, dispatch.ReasonNoEndpoint)
 	_, why = d.Choose(dispatch.Query{Service: plain, Tried: []string{"plain0"}}, start)
-	assert.Equal(t, why, dispatch.ReasonTried)
+	assert.Equal(t, why, dispatch.ReasonAllTried)
 	d.Gone("plain0")
 	a, _ := d.Choose(dispatch.Query{Service: plain}, start)
 	assert.Assert(t, a == nil)
@@ -244,25 +244,24 @@
 	assert.Assert(t, a != nil)
 }
 
-// An endpoint that starts again has an empty cache: it must not be believed to hold what its life before read, nor be
-// asked for it.
-func TestRestartForgetsWarmth(t *testing.T) {
-	d, entries := fleet(3)
+// A restarted endpoint has an empty cache: it must not be assumed to hold what it read before, nor be asked for it.
+func TestRestartClearsCacheRecord(t *testing.T) {
+	d, entries := newDispatcher(3)
 	q := dispatch.Query{Service: models, Prompt: document(1, 1)}
 	a := choose(t, d, q, start)
 	a.End(dispatch.Served, start)
-	assert.Assert(t, choose(t, d, q, start).Missing() < 400)
+	assert.Assert(t, choose(t, d, q, start).MissingTokens() < 400)
 	for i := range entries {
 		entries[i].Born = 9
 	}
 	d.Update(entries, start)
-	assert.Assert(t, choose(t, d, q, start).Missing() > 2000)
+	assert.Assert(t, choose(t, d, q, start).MissingTokens() > 2000)
 }
 
-// What a router placed is learned by the others: they go there, and fetch from there.
+// The other routers learn where a router has sent prompts: they send requests there, and fetch from there.
 func TestPlacementsAreLearned(t *testing.T) {
-	d1, _ := fleet(9)
-	d2, _ := fleet(9)
+	d1, _ := newDispatcher(9)
+	d2, _ := newDispatcher(9)
 	q := dispatch.Query{Service: models, Prompt: document(3, 1)}
 	home := choose(t, d1, q, start).Endpoint()
 	spilled := choose(t, d1, dispatch.Query{Service: models, Prompt: document(3, 2), Tried: []string{home.ID}}, start)
@@ -271,12 +270,12 @@
 	q.Tried = []string{home.ID}
 	a := choose(t, d2, q, start)
 	assert.Equal(t, a.Endpoint().ID, spilled.Endpoint().ID)
-	assert.Assert(t, a.Missing() <= 300, "%d", a.Missing())
+	assert.Assert(t, a.MissingTokens() <= 300, "%d", a.MissingTokens())
 }
 
-// What an attempt counts for is taken back when it ends, once, however it ends.
-func TestLoadsAddUpToNothing(t *testing.T) {
-	d, _ := fleet(3)
+// The load of an attempt is removed once when it ends, whatever its verdict.
+func TestEndedAttemptsLeaveNoLoad(t *testing.T) {
+	d, _ := newDispatcher(3)
 	for _, v := range []dispatch.Verdict{dispatch.Served, dispatch.Refused, dispatch.Broken, dispatch.Silent, dispatch.Unreachable, dispatch.Abandoned} {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
 		a.End(v, start)
@@ -288,9 +287,10 @@
 	}
 }
 
-// The users' measures: of two requests with one document the second finds it warm; the busiest is told against the mean.
+// Of two requests with one document the second finds it cached; the load of the busiest endpoint is compared with the
+// mean.
 func TestMeasures(t *testing.T) {
-	d, _ := fleet(2)
+	d, _ := newDispatcher(2)
 	assert.Equal(t, d.Measure(start).Busiest, 0.0)
 	for i := range uint64(2) {
 		choose(t, d, dispatch.Query{Service: models, Prompt: document(1, i)}, start)
@@ -307,7 +307,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{10, 100, 2500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d, _ := fleet(n)
+			d, _ := newDispatcher(n)
 			b.ReportAllocs()
 			for i := range b.N {
 				a, _ := d.Choose(dispatch.Query{Service: models, Prompt: document(uint64(i%500), uint64(i))}, start)
@@ -317,10 +317,10 @@
 	}
 }
 
-// The list of endpoints changes while an attempt is under way: the attempt goes on knowing where it went. The router and
-// the reader of the list once shared that entry without a lock.
+// The directory changes while an attempt is under way: the attempt must keep the entry that it began with. The router
+// and the reader of the directory once shared that entry without a lock.
 func TestListChangesUnderAnAttempt(t *testing.T) {
-	d, entries := fleet(1)
+	d, entries := newDispatcher(1)
 	a := choose(t, d, dispatch.Query{Service: plain}, start)
 	before := a.Endpoint()
 	done := make(chan bool)
@@ -336,9 +336,9 @@
 	assert.DeepEqual(t, a.Endpoint(), before)
 }
 
-// An attempt may be ended by its watch and by the exchange it belongs to: who counts attempts counts the first end only.
-func TestAttemptTellsItsFirstEnd(t *testing.T) {
-	d, _ := fleet(1)
+// Both the watchdog of an attempt and the exchange it belongs to may end it: only the first end may count.
+func TestOnlyFirstEndCounts(t *testing.T) {
+	d, _ := newDispatcher(1)
 	a := choose(t, d, dispatch.Query{Service: plain}, start)
 	took, first := a.End(dispatch.Broken, start.Add(7*time.Millisecond))
 	assert.Assert(t, first)
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -13,84 +13,85 @@
 	"savoryfall/core/routetable"
 )
 
-// Dispatcher knows the endpoints of every service, their load and their health; New makes one.
+// Dispatcher knows the endpoints of every service, their load and their health. Use New to create one.
 type Dispatcher struct {
 	mu            sync.Mutex
 	failureDomain string
 	table         *routetable.Table
 	pools         map[string][]*endpoint
-	by            map[string]*endpoint
+	byID          map[string]*endpoint
 	prefill       prefillRate
 	demands       map[string]*demand
-	placed        []board.Read
-	byName        map[uint32]*endpoint
-	// left are the engines that are on the list no more, which may hold prompts that no other does.
-	left         []*endpoint
+	pendingReads  []board.Read
+	byShortHash   map[uint32]*endpoint
+	// departed are the endpoints that recently left the directory; engines among them may cache prompts that no other
+	// engine does.
+	departed     []*endpoint
 	promptTokens uint64
-	warmTokens   uint64
-	heardAt      time.Time
-	// random is nil for the source of the process, which no two routers have alike.
+	cachedTokens uint64
+	othersAt     time.Time
+	// random is nil for the random source of the process, which differs between routers.
 	random *rand.Rand
 	// drained are the failure domains whose endpoints get no new work.
-	drained   []string
-	drainedAt map[string]time.Time
-	drainTerm time.Duration
-	fleet     coldshare.Fleet
-	coldBound coldshare.Bound
+	drained        []string
+	drainedAt      map[string]time.Time
+	drainFetchTerm time.Duration
+	fleet          coldshare.Fleet
+	coldBound      coldshare.Bound
 }
 
-// New makes a dispatcher for a router of the failure domain.
+// New returns a dispatcher for a router of the failure domain.
 func New(failureDomain string) *Dispatcher {
-	return &Dispatcher{failureDomain: failureDomain, drainedAt: map[string]time.Time{}, by: map[string]*endpoint{}, pools: map[string][]*endpoint{}}
+	return &Dispatcher{failureDomain: failureDomain, drainedAt: map[string]time.Time{}, byID: map[string]*endpoint{}, pools: map[string][]*endpoint{}}
 }
 
-// Seed makes all that is left to chance from now on the same in every run. Without it the routers of a fleet draw
-// differently, as they must: those that drew alike would all send to the same endpoint.
+// Seed makes all random choices from now on the same in every run. Without it the routers of a fleet choose
+// differently, as they must: routers with the same random numbers would all send to the same endpoint.
 func (d *Dispatcher) Seed(seed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.random = rand.New(rand.NewPCG(seed, seed))
 }
 
-// Configure takes the services of a configuration.
+// Configure sets the services of a configuration.
 func (d *Dispatcher) Configure(t *routetable.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table = t
 }
 
-// Update takes the endpoints that may have new work. Those that stay keep what is known of them, unless their process
-// is another one.
+// Update sets the endpoints that may get new work. What is known of an endpoint is kept, unless its process was
+// replaced.
 func (d *Dispatcher) Update(entries []directory.Entry, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	by, pools := map[string]*endpoint{}, map[string][]*endpoint{}
+	byID, pools := map[string]*endpoint{}, map[string][]*endpoint{}
 	for _, entry := range entries {
 		e := d.find(entry.ID)
 		if e == nil || e.entry.Born != entry.Born || e.entry.Address != entry.Address {
 			e = newEndpoint(entry)
 		}
 		if e.entry != entry {
-			e.cold.left(entry.Cold, now)
+			e.cold.setRemaining(entry.Cold, now)
 		}
 		e.entry = entry
-		by[entry.ID] = e
+		byID[entry.ID] = e
 		pools[entry.Service] = append(pools[entry.Service], e)
 	}
-	d.leave(by, now)
-	d.by, d.pools = by, pools
-	d.byName = map[uint32]*endpoint{}
-	for _, e := range by {
-		d.byName[e.name()] = e
+	d.retainDeparted(byID, now)
+	d.byID, d.pools = byID, pools
+	d.byShortHash = map[uint32]*endpoint{}
+	for _, e := range byID {
+		d.byShortHash[e.shortHash()] = e
 	}
 }
 
-// find is the endpoint of that id, also when the list had dropped it.
+// find returns the endpoint with the id, also if it has recently left the directory.
 func (d *Dispatcher) find(id string) (e *endpoint) {
-	if e = d.by[id]; e != nil {
+	if e = d.byID[id]; e != nil {
 		return e
 	}
-	for _, e := range d.left {
+	for _, e := range d.departed {
 		if e.entry.ID == id {
 			return e
 		}
@@ -98,100 +99,100 @@
 	return nil
 }
 
-// Query is what decides where an attempt goes.
+// Query describes a request for the choice of its endpoint.
 type Query struct {
 	Service string
 	Prompt  prompt.Chain
-	// Rank is where the request stands among those to its service, 0 for the most urgent.
+	// Rank is the request's priority among those of its service, 0 for the most urgent.
 	Rank int
-	// Account is whose request it is, empty for anybody's.
+	// Account is the client account of the request, empty for none.
 	Account string
-	// Tried are the endpoints that this request must not go to again.
+	// Tried are the endpoints that this request must not be sent to again.
 	Tried []string
 }
 
-// Reason is why no endpoint was chosen, or why this one.
+// Reason is why no endpoint was chosen, or why this one was.
 type Reason string
 
 // The reasons of a choice.
 const (
-	ReasonWarm  Reason = "warm"
-	ReasonCost  Reason = "cost"
-	ReasonNone  Reason = "noEndpoint"
-	ReasonTried Reason = "allTried"
-	ReasonFull  Reason = "allFull"
-	// ReasonReserved says that what is left is kept for more urgent requests.
+	ReasonCached     Reason = "warm"
+	ReasonLowestCost Reason = "cost"
+	ReasonNoEndpoint Reason = "noEndpoint"
+	ReasonAllTried   Reason = "allTried"
+	ReasonFull       Reason = "allFull"
+	// ReasonReserved means that the remaining capacity is reserved for more urgent requests.
 	ReasonReserved Reason = "reserved"
 )
 
-// Choose begins an attempt at the endpoint where the request costs least; the attempt is nil when there is none.
-func (d *Dispatcher) Choose(q Query, now time.Time) (a *Attempt, why Reason) {
+// Choose begins an attempt at the endpoint where the request costs least. The attempt is nil if there is none.
+func (d *Dispatcher) Choose(q Query, now time.Time) (a *Attempt, reason Reason) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.contest(q, d.pools[q.Service], now)
+	c := d.scoring(q, d.pools[q.Service], now)
 	if len(c.pool) == 0 {
-		return nil, ReasonNone
+		return nil, ReasonNoEndpoint
 	}
 	if len(q.Tried) > 0 {
-		// What was let in once goes on: it has used a place already, and its client has waited.
-		return c.decide()
+		// A request that was admitted once goes on: it has used capacity already, and its client has waited.
+		return c.beginCheapest()
 	}
 	m := d.demand(q.Service)
-	m.saw(q.Rank, q.Account, now)
-	why, full := c.turnsAway()
-	if !full {
-		a, why = c.decide()
+	m.recordArrival(q.Rank, q.Account, now)
+	reason, rejected := c.rejects()
+	if !rejected {
+		a, reason = c.beginCheapest()
 	}
 	if a == nil {
-		m.turnedAway(q.Rank, now)
+		m.recordRefusal(q.Rank, now)
 	}
-	return a, why
+	return a, reason
 }
 
-func (c *contest) decide() (a *Attempt, why Reason) {
-	best, why := c.best()
+func (c *scoring) beginCheapest() (a *Attempt, reason Reason) {
+	best, reason := c.best()
 	if best == nil {
-		return nil, why
+		return nil, reason
 	}
-	return c.d.begin(c, best), why
+	return c.d.begin(c, best), reason
 }
 
-// Occupancy is how many places of the service this router believes to be taken, of how many.
-func (d *Dispatcher) Occupancy(service string, now time.Time) (taken, places int) {
+// Occupancy returns how many requests the service is estimated to hold, and how many it can.
+func (d *Dispatcher) Occupancy(service string, now time.Time) (taken, capacity int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t, p := d.contest(Query{Service: service}, d.pools[service], now).occupancy()
+	t, p := d.scoring(Query{Service: service}, d.pools[service], now).occupancy()
 	return int(t), int(p)
 }
 
-// FullFor is for how long many requests of the rank have been turned away from the service, 0 when they are not.
+// FullFor returns for how long many requests of the rank have been refused by the service, 0 if they are not.
 func (d *Dispatcher) FullFor(service string, rank int, now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.demand(service).fullFor(rank, now)
 }
 
-// Room tells whether an endpoint of the service other than the one of that id could take a request now.
+// Room reports whether an endpoint of the service other than the one with the id could take a request now.
 func (d *Dispatcher) Room(service, id string, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.contest(Query{Service: service}, d.pools[service], now)
+	c := d.scoring(Query{Service: service}, d.pools[service], now)
 	return slices.ContainsFunc(c.pool, func(e *endpoint) bool {
-		return e.entry.ID != id && !e.gone && !e.breaker.open(now) && !c.over(e) && !c.tooCold(e)
+		return e.entry.ID != id && !e.replaced && !e.breaker.isOpen(now) && !c.saturated(e) && !c.coldLimitReached(e)
 	})
 }
 
-// Gone drops an endpoint that another process has replaced at its address, until the list names it anew.
+// Gone drops an endpoint that another process has replaced at its address, until the directory lists it anew.
 func (d *Dispatcher) Gone(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := d.by[id]
+	e := d.byID[id]
 	if e != nil {
-		e.gone = true
+		e.replaced = true
 	}
 }
 
-// service is that of the configuration, nil when it names none.
+// service returns the configured service, nil if there is none of that name.
 func (d *Dispatcher) service(name string) *routetable.Service {
 	if d.table == nil {
 		return nil
@@ -199,7 +200,7 @@
 	return d.table.Service(name)
 }
 
-func (d *Dispatcher) capacity(service string) (slots, cache int, engine bool) {
+func (d *Dispatcher) serviceCapacity(service string) (slots, cache int, engine bool) {
 	s := d.service(service)
 	if s == nil {
 		return 0, 0, false
@@ -207,8 +208,9 @@
 	return s.Slots, s.CacheTokens, s.Engine
 }
 
-// spread breaks ties between equal costs, so that routers which see the same do not all send to the same endpoint.
-func (d *Dispatcher) spread() float64 {
+// randomFloat returns a random number that also breaks ties between equal costs, so that routers with the same
+// information do not all send to the same endpoint.
+func (d *Dispatcher) randomFloat() float64 {
 	if d.random == nil {
 		return rand.Float64()
 	}
--- a/core/dispatch/doc.go
+++ b/core/dispatch/doc.go
@@ -1,3 +1,3 @@
-// Package dispatch chooses the endpoint for each attempt, by what it would cost the request to be served there, and
-// learns from how the attempts went.
+// Package dispatch chooses the endpoint for each attempt by the estimated cost of serving the request there, and
+// learns from how the attempts end.
 package dispatch
--- a/core/dispatch/drain.go
+++ b/core/dispatch/drain.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Drain takes the failure domains whose endpoints get no new work. When that is over, their endpoints may just have started:
-// they count as cold for as long as a start takes.
+// Drain sets the failure domains whose endpoints get no new work. When the drain of a domain ends, its endpoints may
+// just have started: they count as cold for the usual time after a start.
 func (d *Dispatcher) Drain(domains []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range d.by {
+	for _, e := range d.byID {
 		domain := e.entry.FailureDomain
 		if slices.Contains(d.drained, domain) && !slices.Contains(domains, domain) {
 			e.cold.assume(d.coldFor(e), now)
@@ -24,11 +24,11 @@
 	d.drained = slices.Clone(domains)
 }
 
-// InDomain is how many endpoints of the failure domain are listed.
+// InDomain returns how many listed endpoints are in the failure domain.
 func (d *Dispatcher) InDomain(domain string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range d.by {
+	for _, e := range d.byID {
 		if e.entry.FailureDomain == domain {
 			n++
 		}
@@ -36,46 +36,48 @@
 	return n
 }
 
-// isDrained tells whether the endpoint's failure domain is drained.
+// isDrained reports whether the endpoint's failure domain is drained.
 func (d *Dispatcher) isDrained(e *endpoint) bool {
 	return slices.Contains(d.drained, e.entry.FailureDomain)
 }
 
-// undrained leaves out the endpoints of drained failure domains.
-func (d *Dispatcher) undrained(pool []*endpoint) (some []*endpoint) {
+// withoutDrained leaves out the endpoints of drained failure domains.
+func (d *Dispatcher) withoutDrained(pool []*endpoint) (kept []*endpoint) {
 	if len(d.drained) == 0 {
 		return pool
 	}
 	return slices.DeleteFunc(slices.Clone(pool), d.isDrained)
 }
 
-// SetDrainTerm takes for how long the engines of a drained failure domain still give what they hold. Nobody else has most of it,
-// and it would be read again; an operator who drains a domain expects it to be left alone soon.
+// SetDrainTerm sets for how long cached parts are still fetched from the engines of a drained failure domain. Most of
+// them are cached nowhere else, and would be read again; an operator who drains a domain expects its traffic to end
+// soon.
 func (d *Dispatcher) SetDrainTerm(term time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.drainTerm = term
+	d.drainFetchTerm = term
 }
 
-// givesStill tells whether an endpoint that gets no new work may be asked for what it holds.
-func (d *Dispatcher) givesStill(e *endpoint, now time.Time) bool {
-	return !d.isDrained(e) || now.Sub(d.drainedAt[e.entry.FailureDomain]) <= min(d.drainTerm, servesOn)
+// mayServeFetches reports whether cached parts may be fetched from an endpoint that gets no new work.
+func (d *Dispatcher) mayServeFetches(e *endpoint, now time.Time) bool {
+	return !d.isDrained(e) || now.Sub(d.drainedAt[e.entry.FailureDomain]) <= min(d.drainFetchTerm, departureGrace)
 }
 
-// resting are the endpoints of the service that get no new work and are still there: those of drained failure domains among the
-// listed, and those that have left the list lately. While many are, the mean of all is far below that of the ones in use.
-func (d *Dispatcher) resting(service string, listed []*endpoint, now time.Time) (some []*endpoint) {
+// draining returns the endpoints of the service that get no new work but still run: listed ones in drained failure
+// domains, and those that recently left the directory. While there are many, the mean load of all is far below that of
+// the endpoints in use.
+func (d *Dispatcher) draining(service string, listed []*endpoint, now time.Time) (endpoints []*endpoint) {
 	if len(d.drained) > 0 {
 		for _, e := range listed {
 			if d.isDrained(e) {
-				some = append(some, e)
+				endpoints = append(endpoints, e)
 			}
 		}
 	}
-	for _, e := range d.left {
-		if e.entry.Service == service && now.Sub(e.leftAt) <= servesOn {
-			some = append(some, e)
+	for _, e := range d.departed {
+		if e.entry.Service == service && now.Sub(e.departedAt) <= departureGrace {
+			endpoints = append(endpoints, e)
 		}
 	}
-	return some
+	return endpoints
 }
--- a/core/dispatch/drain_test.go
+++ b/core/dispatch/drain_test.go
@@ -12,9 +12,10 @@
 	"savoryfall/core/routetable"
 )
 
-// domains is a router before three engines in each of two failure domains, which bear 16 requests a second while cold.
-func domains(routers ...uint64) (d *dispatch.Dispatcher, entries []directory.Entry) {
-	d, entries = fleet(6)
+// newTwoDomains returns a dispatcher for three engines in each of two failure domains, which can take 16 requests a
+// second while they are cold.
+func newTwoDomains(routers ...uint64) (d *dispatch.Dispatcher, entries []directory.Entry) {
+	d, entries = newDispatcher(6)
 	d.Configure(routetable.New(routetable.Contents{Services: []routetable.Service{
 		{Name: models, Engine: true, Slots: 32, CacheTokens: 700000, ColdFor: 3 * time.Second, ColdPerSecond: 16}, {Name: plain},
 	}}))
@@ -31,9 +32,9 @@
 	return d, entries
 }
 
-// Guards against requests, tries again and transfers that use a drained domain.
+// Guards against requests, retries and fetches that use a drained domain.
 func TestDrainedDomainGetsNothing(t *testing.T) {
-	d, _ := domains(1)
+	d, _ := newTwoDomains(1)
 	for i := range uint64(100) {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(i%20, i)}, start)
 		a.Answered(dispatch.Load{}, start)
@@ -56,13 +57,13 @@
 	d.Drain([]string{"a", "b"}, start)
 	a, why := d.Choose(dispatch.Query{Service: models}, start)
 	assert.Assert(t, a == nil)
-	assert.Equal(t, why, dispatch.ReasonNone)
+	assert.Equal(t, why, dispatch.ReasonNoEndpoint)
 	assert.Assert(t, !d.Room(models, "", start))
 }
 
-// Guards against prompts that are read again because only engines of a domain that was just drained hold them.
-func TestDrainedEnginesGiveWhatTheyHold(t *testing.T) {
-	d, _ := domains(1)
+// Guards against prompts that are read again because only engines of a domain that was just drained have them cached.
+func TestPromptsAreFetchedFromDrainedEngines(t *testing.T) {
+	d, _ := newTwoDomains(1)
 	held := map[uint64]string{}
 	for i := range uint64(40) {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(i, i)}, start)
@@ -83,8 +84,9 @@
 	}
 }
 
-// sendsAtB is the most of 900 requests, one a millisecond, that go to any endpoint of the failure domain b.
-func sendsAtB(d *dispatch.Dispatcher, now time.Time) (most int) {
+// maxSentInB sends 900 requests, one a millisecond, and returns the highest number sent to any endpoint of failure
+// domain b.
+func maxSentInB(d *dispatch.Dispatcher, now time.Time) (most int) {
 	at := map[string]int{}
 	for i := range uint64(900) {
 		a, _ := d.Choose(dispatch.Query{Service: models, Prompt: document(i, i)}, now.Add(time.Duration(i)*time.Millisecond))
@@ -100,42 +102,42 @@
 	return most
 }
 
-// Guards against engines that fail because they are sent, when they come back, what a warm one is sent. One router alone may
-// send nine tenths of what an engine bears.
+// Guards against engines that fail because they get the load of a warm engine when their domain is used again. A
+// single router may send nine tenths of what an engine can take.
 func TestReturnOfADrainedDomainIsCold(t *testing.T) {
-	d, _ := domains(1)
+	d, _ := newTwoDomains(1)
 	now := start.Add(time.Minute)
 	d.Drain([]string{"b"}, now)
 	d.Drain(nil, now)
-	assert.Equal(t, sendsAtB(d, now), 26)
+	assert.Equal(t, maxSentInB(d, now), 26)
 	now = now.Add(4 * time.Second)
-	assert.Assert(t, sendsAtB(d, now) > 29)
+	assert.Assert(t, maxSentInB(d, now) > 29)
 }
 
-// Guards against an engine that fails because it is sent more than it bears while its entry says that it is cold.
+// Guards against an engine that fails because it is sent more than it can take while its entry says that it is cold.
 func TestColdEngineIsSentItsShare(t *testing.T) {
 	for _, tt := range []struct {
 		routers []uint64
 		want    int
 	}{{[]uint64{1}, 26}, {[]uint64{1, 2}, 13}, {nil, 0}} {
-		d, entries := domains(tt.routers...)
+		d, entries := newTwoDomains(tt.routers...)
 		for i := range entries {
 			if entries[i].FailureDomain == "b" {
 				entries[i].Born, entries[i].Cold = 7, 2*time.Second
 			}
 		}
 		d.Update(entries, start)
-		assert.Equal(t, sendsAtB(d, start), tt.want)
-		// It counts on from when it was heard, not anew with what others say.
+		assert.Equal(t, maxSentInB(d, start), tt.want)
+		// A new entry with the same remaining time must not restart the cold period.
 		entries[0].Sequence++
 		d.Update(entries, start.Add(time.Second))
-		assert.Assert(t, sendsAtB(d, start.Add(2100*time.Millisecond)) > 29)
+		assert.Assert(t, maxSentInB(d, start.Add(2100*time.Millisecond)) > 29)
 	}
 }
 
-// Guards against a router that refuses nobody when only cold engines are left, and has them fail.
+// Guards against a router that refuses nothing when only cold engines are left, so that they fail.
 func TestOnlyColdEnginesAreLeft(t *testing.T) {
-	d, entries := domains(1)
+	d, entries := newTwoDomains(1)
 	for i := range entries {
 		entries[i].Born, entries[i].Cold = 7, 2*time.Second
 	}
@@ -153,12 +155,12 @@
 	assert.Equal(t, served, 6*26)
 }
 
-// Guards against an engine that starts again under its id, is answered by, and is taken for the warm one that was lost.
+// Guards against an engine that restarts with the same id, answers, and is taken for the warm one that was lost.
 func TestEngineThatAnswersAgainCountsAsCold(t *testing.T) {
-	d, _ := domains(1)
+	d, _ := newTwoDomains(1)
 	now := start
 	for range 4 {
-		lose(t, d, "models4", dispatch.Unreachable, 20, now)
+		failAt(t, d, "models4", dispatch.Unreachable, 20, now)
 		now = now.Add(600 * time.Millisecond)
 	}
 	now = now.Add(3 * time.Second)
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -14,196 +14,202 @@
 // endpoint is what this router knows of one endpoint.
 type endpoint struct {
 	entry directory.Entry
-	// hash stands for the endpoint's id between routers and in rankings.
+	// hash identifies the endpoint's id between routers and in rankings.
 	hash uint64
-	// running are this router's own requests there; unread the prompt tokens of those that have not begun to answer.
+	// running counts this router's own requests at the endpoint, unreadTokens the prompt tokens of those that have not
+	// been answered yet.
 	running int
-	// sent are the requests that this router sent there, faded with time.
-	sent   float64
-	sentAt time.Time
-	unread int
-	// others is how many requests of other routers the hub told of, or without a hub the last answer.
-	others   int
-	othersAt time.Time
-	// heard is what the hub told of the other routers.
-	heard    board.Load
-	heardOf  time.Time
-	failures decaying
-	breaker  breaker
-	// hidden are requests that the endpoint has beyond those that the routers count, when it last told.
-	hidden   float64
-	hiddenAt time.Time
-	cache    warmth.Cache
-	// latency is the time in milliseconds that a plain answer takes.
-	latency average
-	// heardAt is when the last bytes came.
-	heardAt time.Time
-	gone    bool
-	cold    coldness
-	// leftAt is when the list named it no more.
-	leftAt time.Time
+	// sentWeight counts the requests that this router sent to the endpoint, decayed with time.
+	sentWeight   float64
+	sentAt       time.Time
+	unreadTokens int
+	// othersRunning is how many requests of other routers the hub reported or, without a hub, the last answer implied.
+	othersRunning int
+	othersAt      time.Time
+	// othersReport is the hub's last report of the other routers.
+	othersReport   board.Load
+	othersReportAt time.Time
+	failures       decayingRatio
+	breaker        breaker
+	// untracked counts the requests beyond those that the routers know of, as of the endpoint's last load report.
+	untracked   float64
+	untrackedAt time.Time
+	cache       warmth.Cache
+	// latency is the time that a plain answer takes, in milliseconds.
+	latency decayingMean
+	// lastBytesAt is when the endpoint last sent any bytes.
+	lastBytesAt time.Time
+	replaced    bool
+	cold        warmup
+	// departedAt is when the directory stopped listing the endpoint.
+	departedAt time.Time
 }
 
 func newEndpoint(entry directory.Entry) *endpoint {
 	return &endpoint{hash: xxhash.Sum64String(entry.ID)}
 }
 
-// name is the endpoint's between routers.
-func (e *endpoint) name() uint32 { return uint32(e.hash) }
+// shortHash identifies the endpoint between routers.
+func (e *endpoint) shortHash() uint32 { return uint32(e.hash) }
 
-// nameOf is the name of a service between routers.
-func nameOf(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
+// serviceHash identifies a service between routers.
+func serviceHash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
 
-// othersAge is how long the load that an answer told of counts: about the time of a stream, after which the requests
-// of then have ended.
-const othersAge = 2 * time.Second
+// othersMaxAge is how long a load report counts: about the duration of a stream, after which the reported requests
+// have ended.
+const othersMaxAge = 2 * time.Second
 
-// load is how many requests the endpoint is believed to have.
-func (e *endpoint) load(now time.Time) float64 { return e.counted(now) + e.unaccounted(now) }
+// load estimates how many requests the endpoint has.
+func (e *endpoint) load(now time.Time) float64 { return e.trackedLoad(now) + e.untrackedLoad(now) }
 
-// counted are the requests that routers wait for.
-func (e *endpoint) counted(now time.Time) float64 {
-	return float64(e.running) + e.ofOthers(now)
+// trackedLoad returns the requests that routers wait for.
+func (e *endpoint) trackedLoad(now time.Time) float64 {
+	return float64(e.running) + e.currentOthers(now)
 }
 
-// ofOthers are the requests that other routers were told to wait for.
-func (e *endpoint) ofOthers(now time.Time) float64 {
-	if now.Sub(e.othersAt) > othersAge {
+// currentOthers returns the requests that other routers wait for, by the last report.
+func (e *endpoint) currentOthers(now time.Time) float64 {
+	if now.Sub(e.othersAt) > othersMaxAge {
 		return 0
 	}
-	return float64(e.others)
+	return float64(e.othersRunning)
 }
 
-// sentHalf is the time in which what was sent loses half its weight: about as long as views are late.
-const sentHalf = 500 * time.Millisecond
+// sentHalfLife is the half-life of sentWeight: about as long as reports are late.
+const sentHalfLife = 500 * time.Millisecond
 
-// sentLately are the requests that this router sent there lately.
-func (e *endpoint) sentLately(now time.Time) float64 {
-	return e.sent * math.Exp2(-float64(now.Sub(e.sentAt))/float64(sentHalf))
+// recentlySent returns the decayed count of requests that this router sent to the endpoint.
+func (e *endpoint) recentlySent(now time.Time) float64 {
+	return e.sentWeight * math.Exp2(-float64(now.Sub(e.sentAt))/float64(sentHalfLife))
 }
 
-// hiddenHalf is the time in which half of the requests that nobody waits for are taken to have ended: streams of some
-// seconds that were left midway.
-const hiddenHalf = time.Second
+// untrackedHalfLife is the time in which half of the requests that nobody waits for are assumed to end: streams of
+// some seconds that were abandoned midway.
+const untrackedHalfLife = time.Second
 
-// hiddenLeft is what is left of the hidden requests that this router was told of.
-func (e *endpoint) hiddenLeft(now time.Time) float64 {
-	return e.hidden * e.hiddenPart(now.Sub(e.hiddenAt))
+// ownUntracked returns the untracked requests that an answer reported to this router and that are assumed to still
+// run.
+func (e *endpoint) ownUntracked(now time.Time) float64 {
+	return e.untracked * e.untrackedShare(now.Sub(e.untrackedAt))
 }
 
-// hiddenPart is the part of the hidden requests that is left some time after they were told of. Calls of a plain service
-// end within the time that they take: kept for a second, the few that an answer told of by chance were taken for a service
-// that is half full while it did a fifth of what it can.
-func (e *endpoint) hiddenPart(after time.Duration) float64 {
-	half := float64(hiddenHalf)
+// untrackedShare returns the share of untracked requests that still run some time after they were reported. Calls of a
+// plain service end within their usual latency: when they were kept for a second, the few that an answer happened to
+// report made a service look half full while it did a fifth of what it can.
+func (e *endpoint) untrackedShare(elapsed time.Duration) float64 {
+	half := float64(untrackedHalfLife)
 	if !e.latency.at.IsZero() {
 		half = min(half, e.latency.value*float64(time.Millisecond))
 	}
-	return math.Exp2(-float64(after) / max(half, 1))
+	return math.Exp2(-float64(elapsed) / max(half, 1))
 }
 
-// unaccounted is what is left of the hidden requests that this router, or another, was told of.
-func (e *endpoint) unaccounted(now time.Time) float64 {
-	own := e.hiddenLeft(now)
-	if now.Sub(e.heardOf) > othersAge {
+// untrackedLoad returns the untracked requests that an answer reported to any router and that are assumed to still
+// run.
+func (e *endpoint) untrackedLoad(now time.Time) float64 {
+	own := e.ownUntracked(now)
+	if now.Sub(e.othersReportAt) > othersMaxAge {
 		return own
 	}
-	return max(own, float64(e.heard.Hidden)*e.hiddenPart(now.Sub(e.heardOf)))
+	return max(own, float64(e.othersReport.Hidden)*e.untrackedShare(now.Sub(e.othersReportAt)))
 }
 
-// told takes the load that an answer tells of. Against the hub's count, which is of requests that routers wait for, it
-// shows those that the endpoint still works on for nobody; without a hub it is what is known of the other routers.
-func (e *endpoint) told(l Load, now time.Time) {
+// recordLoad records the load that an answer reports. Compared with the hub's count of requests that routers wait for,
+// it shows those that the endpoint still executes for disconnected clients; without a hub it is all that is known of
+// the other routers.
+func (e *endpoint) recordLoad(l Load, now time.Time) {
 	total := l.Running + l.Waiting
-	if now.Sub(e.heardOf) <= othersAge {
-		e.hidden, e.hiddenAt = float64(max(total-e.running-e.others, 0)), now
+	if now.Sub(e.othersReportAt) <= othersMaxAge {
+		e.untracked, e.untrackedAt = float64(max(total-e.running-e.othersRunning, 0)), now
 		return
 	}
-	e.others, e.othersAt = max(total-e.running, 0), now
+	e.othersRunning, e.othersAt = max(total-e.running, 0), now
 }
 
-// toRead is how many prompt tokens the endpoint has still to read before it answers what it was sent.
-func (e *endpoint) toRead(now time.Time) int {
-	if now.Sub(e.heardOf) > othersAge {
-		return e.unread
+// backlog returns how many prompt tokens the endpoint still has to read before it answers the requests that it has.
+func (e *endpoint) backlog(now time.Time) int {
+	if now.Sub(e.othersReportAt) > othersMaxAge {
+		return e.unreadTokens
 	}
-	return e.unread + e.heard.Unread
+	return e.unreadTokens + e.othersReport.Unread
 }
 
-// failing is the share of attempts that failed lately, of this router's and the others'.
-func (e *endpoint) failing(now time.Time) float64 {
+// failureRate returns the share of recent attempts that failed, of this router and the others.
+func (e *endpoint) failureRate(now time.Time) float64 {
 	e.failures.fade(now)
 	bad, all := e.failures.bad, e.failures.all
-	if now.Sub(e.heardOf) <= othersAge {
-		bad += float64(e.heard.Bad)
-		all += float64(e.heard.All)
+	if now.Sub(e.othersReportAt) <= othersMaxAge {
+		bad += float64(e.othersReport.Bad)
+		all += float64(e.othersReport.All)
 	}
-	return min(bad/(all+doubt), 1)
+	return min(bad/(all+priorSuccesses), 1)
 }
 
-// decaying counts failures and attempts that fade with time, so that an endpoint that was avoided gets another chance.
-type decaying struct {
+// decayingRatio counts failures and attempts, decayed with time so that an avoided endpoint gets another chance.
+type decayingRatio struct {
 	bad, all float64
 	at       time.Time
 }
 
 const (
-	// halfLife is the time in which what was seen loses half its weight: a few times the interval between two
-	// requests of one router to one endpoint, at about one a second.
-	halfLife = 2500 * time.Millisecond
-	// doubt is how many good attempts everyone is credited with, so that one failure among none is not certainty.
-	doubt = 2.0
+	// failureHalfLife is the half-life of failures and attempts: a few times the interval between two requests of one
+	// router to one endpoint, which is about a second.
+	failureHalfLife = 2500 * time.Millisecond
+	// priorSuccesses is how many successful attempts every endpoint is credited with, so that one failure among no
+	// others is not certainty.
+	priorSuccesses = 2.0
 )
 
-func (c *decaying) fade(now time.Time) {
-	if c.all > negligible {
-		f := faded(now.Sub(c.at))
+func (c *decayingRatio) fade(now time.Time) {
+	if c.all > minFadedWeight {
+		f := decay(now.Sub(c.at))
 		c.bad *= f
 		c.all *= f
 	}
 	c.at = now
 }
 
-// negligible is the weight below which attempts are not faded further, which spares most endpoints the logarithm.
-const negligible = 1e-3
+// minFadedWeight is the weight below which attempts are not decayed further, which spares the exponential for most
+// endpoints.
+const minFadedWeight = 1e-3
 
-// faded is what is left of the weight of something seen that long ago.
-func faded(age time.Duration) float64 { return math.Exp2(-float64(age) / float64(halfLife)) }
+// decay returns the remaining weight of an observation of that age.
+func decay(age time.Duration) float64 { return math.Exp2(-float64(age) / float64(failureHalfLife)) }
 
-func (c *decaying) add(bad, all float64, now time.Time) {
+func (c *decayingRatio) add(bad, all float64, now time.Time) {
 	c.fade(now)
 	c.bad += bad
 	c.all += all
 }
 
-// average is an exponentially weighted mean that fades with time towards what is usual: an endpoint that was found slow
-// gets nothing, so only time can show that it has recovered. The zero value has seen nothing.
-type average struct {
+// decayingMean is an exponentially weighted mean that decays with time towards a default: an endpoint that was found
+// slow gets no requests, so only time can show that it has recovered. The zero value has seen nothing.
+type decayingMean struct {
 	value float64
 	at    time.Time
 }
 
-// weightOfNew is how much the newest value counts: some five values decide.
-const weightOfNew = 0.25
+// smoothingFactor is the weight of the newest value: about five values decide.
+const smoothingFactor = 0.25
 
-func (a *average) add(v float64, now time.Time) {
+func (a *decayingMean) add(v float64, now time.Time) {
 	if a.at.IsZero() {
 		a.value = v
 	} else {
-		a.value += weightOfNew * (v - a.value)
+		a.value += smoothingFactor * (v - a.value)
 	}
 	a.at = now
 }
 
-func (a *average) or(usual float64, now time.Time) float64 {
+func (a *decayingMean) decayedOr(usual float64, now time.Time) float64 {
 	if a.at.IsZero() {
 		return usual
 	}
-	return usual + (a.value-usual)*faded(now.Sub(a.at))
+	return usual + (a.value-usual)*decay(now.Sub(a.at))
 }
 
-// last is the mean as it was when a value came last, for what time alone does not change.
-func (a *average) last(usual float64) float64 {
+// lastOr returns the mean without decay, for values that time alone does not change.
+func (a *decayingMean) lastOr(usual float64) float64 {
 	if a.at.IsZero() {
 		return usual
 	}
@@ -211,32 +217,33 @@
 }
 
 // prefillRate learns how many prompt tokens an engine reads in a millisecond.
-type prefillRate struct{ learned average }
+type prefillRate struct{ learned decayingMean }
 
 const (
-	// usualPrefill is the rate in tokens a millisecond until one is learned; large engines read about 100.
-	usualPrefill = 100.0
-	// telling is from how many tokens on the time to the first event is mostly that of reading them.
-	telling = 4000
-	// firstStep is the time in milliseconds to the first event that does not depend on the prompt.
-	firstStep = 35.0
+	// defaultPrefillRate is the rate in tokens a millisecond until one is learned; large engines read about 100.
+	defaultPrefillRate = 100.0
+	// minMeasuredTokens is the prompt length from which the time to the first event is mostly that of reading the
+	// prompt.
+	minMeasuredTokens = 4000
+	// firstStepMs is the part of the time to the first event that does not depend on the prompt.
+	firstStepMs = 35.0
 )
 
 func (p *prefillRate) perMs() float64 {
 	if p.learned.at.IsZero() {
-		return usualPrefill
+		return defaultPrefillRate
 	}
 	return p.learned.value
 }
 
-func (p *prefillRate) saw(tokens int, took time.Duration, now time.Time) {
-	ms := float64(took)/float64(time.Millisecond) - firstStep
-	if tokens < telling || ms <= 0 {
+func (p *prefillRate) observe(tokens int, took time.Duration, now time.Time) {
+	ms := float64(took)/float64(time.Millisecond) - firstStepMs
+	if tokens < minMeasuredTokens || ms <= 0 {
 		return
 	}
 	rate := float64(tokens) / ms
-	// A rate far off is a prompt that was cached after all, or one that waited.
-	if rate > usualPrefill*4 || rate < usualPrefill/4 {
+	// A rate far from the default means that the prompt was cached after all, or that it waited.
+	if rate > defaultPrefillRate*4 || rate < defaultPrefillRate/4 {
 		return
 	}
 	p.learned.add(rate, now)
--- a/core/dispatch/donor_test.go
+++ b/core/dispatch/fetch_test.go
@@ -11,19 +11,19 @@
 	"savoryfall/core/dispatch"
 )
 
-// without is the list that names one endpoint no more.
+// without returns the entries but the one with the id.
 func without(entries []directory.Entry, id string) []directory.Entry {
 	return slices.DeleteFunc(slices.Clone(entries), func(e directory.Entry) bool { return e.ID == id })
 }
 
-// An engine that is replaced answers for some seconds after it has left the list, and nobody else holds what it has read:
-// its prompts are fetched from it, and read again only when it is gone.
+// An engine that is replaced serves for some seconds after it has left the directory, and no other engine caches what
+// it has read: its prompts must be fetched from it, and read again only when it is gone.
 func TestPromptIsFetchedFromAnEngineThatLeaves(t *testing.T) {
 	for _, when := range []struct {
 		after time.Duration
 		fetch bool
 	}{{after: 0, fetch: true}, {after: 2500 * time.Millisecond, fetch: true}, {after: 4 * time.Second}} {
-		d, entries := fleet(4)
+		d, entries := newDispatcher(4)
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
 		a.Answered(dispatch.Load{}, start)
 		a.End(dispatch.Served, start)
@@ -35,14 +35,14 @@
 	}
 }
 
-// An engine that was lost leaves the list too. Nothing is fetched from where nobody answered, nor from an engine that
+// A lost engine leaves the directory too. Nothing may be fetched from an engine that did not answer, nor from one that
 // another process has replaced at its address.
 func TestNothingIsFetchedFromALostEngine(t *testing.T) {
 	for name, lose := range map[string]func(d *dispatch.Dispatcher, a *dispatch.Attempt){
 		"silent":   func(_ *dispatch.Dispatcher, a *dispatch.Attempt) { a.End(dispatch.Silent, start) },
 		"replaced": func(d *dispatch.Dispatcher, a *dispatch.Attempt) { d.Gone(a.Endpoint().ID) },
 	} {
-		d, entries := fleet(4)
+		d, entries := newDispatcher(4)
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
 		lose(d, a)
 		d.Update(without(entries, a.Endpoint().ID), start)
@@ -51,23 +51,23 @@
 	}
 }
 
-// An engine is dropped from the list by mistake and comes back. What it holds is known as before, and it is no donor to
-// itself.
-func TestEngineThatReturnsIsKnownAsBefore(t *testing.T) {
-	d, entries := fleet(4)
+// An engine is dropped from the directory by mistake and comes back. What it has cached must still be known, and it
+// must not be its own donor.
+func TestRelistedEngineKeepsItsCacheRecord(t *testing.T) {
+	d, entries := newDispatcher(4)
 	a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
 	a.End(dispatch.Served, start)
 	d.Update(without(entries, a.Endpoint().ID), start)
 	d.Update(entries, start)
 	next := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 2)}, start)
 	assert.Equal(t, next.Endpoint().ID, a.Endpoint().ID)
-	assert.Equal(t, next.Missing(), 300)
+	assert.Equal(t, next.MissingTokens(), 300)
 	assert.Equal(t, next.Donor(), "")
 }
 
-// The address of an engine that has gone is given to another endpoint, which holds nothing of what the first had.
+// The address of an engine that has left is given to another endpoint, which caches nothing of what the engine had.
 func TestNothingIsFetchedFromAnAddressUsedAgain(t *testing.T) {
-	d, entries := fleet(4)
+	d, entries := newDispatcher(4)
 	a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
 	a.End(dispatch.Served, start)
 	others := without(entries, a.Endpoint().ID)
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -6,52 +6,54 @@
 )
 
 const (
-	// foresight is for how long a router plans the places of a service: as long as it does not know of what the others
-	// have sent. Where a place is free again sooner, for as long as one is held.
-	foresight = 600 * time.Millisecond
-	// freeShare is the part of the places up to which nobody is turned away.
-	freeShare = 0.5
+	// planningHorizon is how far ahead a router plans the capacity of a service: as long as it does not know what the
+	// others have sent. Where requests hold capacity for less than that, their hold time is used instead.
+	planningHorizon = 600 * time.Millisecond
+	// unreservedShare is the share of the capacity up to which nobody is refused.
+	unreservedShare = 0.5
 )
 
-// turnsAway tells whether the request must not take one of the places that are left, and why.
+// rejects reports whether the request must not take any of the remaining capacity, and why.
 //
-// In the time that is planned, the places that are free or become free go to the more urgent requests that will come,
-// and what is left to those of this rank, shared fairly between the accounts by chance. Without it a service that is asked
-// for several times what it can do serves every rank alike, and drafts are refused while quick questions hold the places.
-// A threshold in place of the chance does not do: all routers let everybody in while it is not reached, fill the places
-// twice before any sees it, and then turn away the urgent too.
-func (c *contest) turnsAway() (why Reason, yes bool) {
-	taken, places := c.occupancy()
-	if places == 0 || taken < freeShare*places {
+// Within the planning horizon, capacity that is free or becomes free goes to the more urgent requests that will
+// arrive, and the rest to those of this rank, shared fairly between accounts by random choice. Without it, a service
+// that gets several times the requests it can serve treats all ranks alike, and drafts are refused while quick
+// questions hold the capacity. A fixed threshold in place of the random choice does not work: all routers admit
+// everybody until it is reached, fill the capacity twice before any sees it, and then refuse urgent requests too.
+func (c *scoring) rejects() (reason Reason, rejected bool) {
+	taken, capacity := c.occupancy()
+	if capacity == 0 || taken < unreservedShare*capacity {
 		return "", false
 	}
 	m := c.d.demand(c.q.Service)
-	p := m.plan(c.q.Rank, c.now)
-	// The square root is what chance adds to the more urgent: a place that is free only on average turns them away.
-	left := places - taken + p.released - p.ahead - math.Sqrt(p.ahead)
-	if left >= p.coming {
+	expected := m.forecast(c.q.Rank, c.now)
+	// The square root is the standard deviation of the more urgent arrivals: with only their mean reserved, some of
+	// them would be refused.
+	left := capacity - taken + expected.released - expected.moreUrgent - math.Sqrt(expected.moreUrgent)
+	if left >= expected.sameRank {
 		return "", false
 	}
-	if left > 0 && c.d.spread() < m.level(c.q.Rank).shares.Chance(c.q.Account, left/p.coming, c.now) {
+	if left > 0 && c.d.randomFloat() < m.level(c.q.Rank).shares.Chance(c.q.Account, left/expected.sameRank, c.now) {
 		return "", false
 	}
-	if p.ahead == 0 {
+	if expected.moreUrgent == 0 {
 		return ReasonFull, true
 	}
 	return ReasonReserved, true
 }
 
-// occupancy is how many places of the service are taken, of how many. They are added up over the endpoints, because the
-// sum is known better than its parts: some hundred milliseconds late, a busy endpoint still looks free to one router
-// while the others fill it. Hidden requests are left out: of each endpoint the highest that any router met counts, and
-// added up over ninety endpoints these made a quarter of the places look taken that were not.
-func (c *contest) occupancy() (taken, places float64) {
+// occupancy returns how many requests the service holds, and how many it can. Both are summed over the endpoints,
+// because the sum is known better than its parts: with reports some hundred milliseconds late, a busy endpoint still
+// looks free to one router while the others fill it. Untracked requests are left out: for each endpoint the highest
+// number that any router saw counts, and summed over ninety endpoints they made a quarter of the capacity look taken
+// that was not.
+func (c *scoring) occupancy() (taken, capacity float64) {
 	for _, e := range c.pool {
-		if e.gone {
+		if e.replaced {
 			continue
 		}
-		taken += e.counted(c.now)
-		places += float64(c.places(e))
+		taken += e.trackedLoad(c.now)
+		capacity += float64(c.capacity(e))
 	}
-	return taken, places
+	return taken, capacity
 }
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -11,8 +11,8 @@
 	"savoryfall/core/prompt"
 )
 
-// callers asks a service with 32 places an engine for requests that hold their places for a second each.
-type callers struct {
+// rankedLoad sends requests that run for a second each to a service with 32 slots an engine.
+type rankedLoad struct {
 	t       *testing.T
 	d       *dispatch.Dispatcher
 	now     time.Time
@@ -25,11 +25,11 @@
 	until time.Time
 }
 
-// counts are how many urgent and other requests were let in, and turned away.
+// counts are the numbers of admitted and refused requests, urgent and others.
 type counts struct{ urgent, others, urgentRefused, othersRefused int }
 
-// ask sends requests at a rate for some time, one in four of them urgent.
-func (c *callers) ask(perSecond int, d time.Duration) (n counts) {
+// run sends requests at a rate for some time, one in four of them urgent.
+func (c *rankedLoad) run(perSecond int, d time.Duration) (n counts) {
 	for end := c.now.Add(d); c.now.Before(end); c.n++ {
 		c.now = c.now.Add(time.Second / time.Duration(perSecond))
 		for len(c.running) > 0 && !c.now.Before(c.running[0].until) {
@@ -59,48 +59,48 @@
 	return n
 }
 
-func callersOf(t *testing.T, engines int) *callers {
-	d, _ := fleet(engines)
-	return &callers{t: t, d: d, now: start}
+func newRankedLoad(t *testing.T, engines int) *rankedLoad {
+	d, _ := newDispatcher(engines)
+	return &rankedLoad{t: t, d: d, now: start}
 }
 
-// A surge of quick questions, four times what the engines can do, comes with as many drafts as they can do. Callers of
-// drafts were refused as often as those of questions, since whoever came first took the places. Questions must leave
-// places for the drafts that come later, and get what the drafts leave.
+// A surge of quick questions, four times what the engines can serve, comes with as many drafts as they can serve.
+// Drafts were refused as often as questions, since whoever came first was admitted. Questions must leave capacity for
+// the drafts that come later, and get what the drafts leave.
 func TestLessUrgentLeaveRoom(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		c := callersOf(t, 4)
+		c := newRankedLoad(t, 4)
 		c.d.Seed(seed)
-		usual := c.ask(100, 3*time.Second)
+		usual := c.run(100, 3*time.Second)
 		assert.Equal(t, usual.urgentRefused+usual.othersRefused, 0)
-		n := c.ask(400, 5*time.Second)
+		n := c.run(400, 5*time.Second)
 		assert.Assert(t, 10*n.urgentRefused < n.urgent, "%+v", n)
 		assert.Assert(t, n.others >= 80, "%+v", n)
 	})
 }
 
-// Urgent requests alone are more than the engines can do: they get every place.
+// Urgent requests alone exceed what the engines can serve: they must get all of the capacity.
 func TestUrgentFillAllPlaces(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		c := callersOf(t, 2)
+		c := newRankedLoad(t, 2)
 		c.d.Seed(seed)
-		c.ask(400, 2*time.Second)
-		n := c.ask(400, 2*time.Second)
+		c.run(400, 2*time.Second)
+		n := c.run(400, 2*time.Second)
 		assert.Assert(t, n.urgent >= 2*60, "%+v", n)
 	})
 }
 
-// While half of a service's places are free, nobody is turned away, whatever is expected.
+// While half of a service's capacity is free, nothing is refused, whatever is expected.
 func TestNobodyIsRefusedWhileHalfIsFree(t *testing.T) {
-	c := callersOf(t, 4)
-	n := c.ask(60, 4*time.Second)
+	c := newRankedLoad(t, 4)
+	n := c.run(60, 4*time.Second)
 	assert.Equal(t, n.urgentRefused+n.othersRefused, 0, "%+v", n)
 }
 
-// A plain service does each call in some milliseconds, so that a place is free again at once: hardly any are kept, even
-// for many urgent calls.
+// A plain service answers each call in some milliseconds, so that its capacity is free again at once: hardly any may
+// be reserved, even for many urgent calls.
 func TestShortCallsKeepFewPlaces(t *testing.T) {
-	d, _ := fleet(4)
+	d, _ := newDispatcher(4)
 	now := start
 	refused := 0
 	for i := range 4000 {
@@ -115,19 +115,19 @@
 	assert.Equal(t, refused, 0)
 }
 
-// Where nothing more urgent comes, nothing is kept for it.
-func TestNothingIsKeptForNobody(t *testing.T) {
-	d, _ := fleet(1)
+// Where no more urgent requests come, nothing is reserved for them.
+func TestNothingIsReservedWithoutMoreUrgentRequests(t *testing.T) {
+	d, _ := newDispatcher(1)
 	for i := range uint64(32) {
 		choose(t, d, dispatch.Query{Service: models, Rank: 5, Prompt: prompt.Chain{{ID: i, Tokens: 300}}}, start)
 	}
 }
 
-// A plain service told by chance of a few calls that other routers had there when it answered. They end within the time
-// of a call: when they counted for a second, a service that did a fifth of what it can was taken for full, and calls were
-// refused.
-func TestCallsOfOthersEndAsFastAsOwn(t *testing.T) {
-	d, _ := fleet(1)
+// A plain service reported a few calls of other routers that it happened to run when it answered. They end within the
+// latency of a call: when they counted for a second, a service that did a fifth of what it can was taken for full, and
+// calls were refused.
+func TestUntrackedCallsEndWithinLatency(t *testing.T) {
+	d, _ := newDispatcher(1)
 	d.Others(board.Work{}, board.Work{}, start)
 	now := start
 	for range 5 {
@@ -145,29 +145,29 @@
 	}
 }
 
-// Callers who are turned away are told to come back after the overload. The router must know since when it lasts, and
-// that it is over once hardly anybody is turned away.
-func TestOverloadHasABeginningAndAnEnd(t *testing.T) {
+// Refused clients are told to retry after the overload. The router must know when it began, and that it is over once
+// hardly any request is refused.
+func TestFullForFollowsAnOverload(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		c := callersOf(t, 2)
+		c := newRankedLoad(t, 2)
 		c.d.Seed(seed)
-		c.ask(50, 2*time.Second)
+		c.run(50, 2*time.Second)
 		assert.Equal(t, c.d.FullFor(models, 1, c.now), time.Duration(0))
-		c.ask(400, 4*time.Second)
+		c.run(400, 4*time.Second)
 		full := c.d.FullFor(models, 1, c.now)
 		assert.Assert(t, full > 3*time.Second && full < 4*time.Second, "%v", full)
 		assert.Equal(t, c.d.FullFor(models, 1, c.now.Add(5*time.Second)), time.Duration(0), "nobody asks any more")
-		c.ask(40, 5*time.Second)
+		c.run(40, 5*time.Second)
 		assert.Equal(t, c.d.FullFor(models, 1, c.now), time.Duration(0))
 	})
 }
 
-// One of four accounts asks for ten times as much as each of the others, twice what the engines can do in all. Callers of
-// the others were refused as often as those of the large one, every second time. What is left to chance is the moment in
-// which all places are taken.
+// One of four accounts sends ten times as much as each of the others, twice what the engines can serve in all.
+// Requests of the others were refused as often as those of the large one, every second time. Random choice remains
+// only for the moments when all capacity is taken.
 func TestSurgeOfOneAccountSparesTheOthers(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		d, _ := fleet(4)
+		d, _ := newDispatcher(4)
 		d.Seed(seed)
 		now := start
 		var open []running
--- a/core/dispatch/slow_test.go
+++ b/core/dispatch/slow_test.go
@@ -14,7 +14,7 @@
 // A slow plain endpoint gets less than its share.
 func TestSlowPlainEndpointGetsLess(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		d, _ := fleet(4)
+		d, _ := newDispatcher(4)
 		d.Seed(seed)
 		used := map[string]int{}
 		now := start
@@ -32,10 +32,10 @@
 	})
 }
 
-// An engine works eight times as slowly as the others. What it was sent stays there longer, so that it looks busy and gets less
-// than its share; nothing else has to be remembered of it, and it has its share again when it has recovered.
+// An engine works at an eighth of the speed of the others. Its requests stay there longer, so that it looks busy and
+// gets less than its share without any other record of its speed; it must get its share again when it has recovered.
 func TestSlowEngineGetsLessForAsLongAsItIsSlow(t *testing.T) {
-	d, _ := fleet(4)
+	d, _ := newDispatcher(4)
 	var running []open
 	now, used := start, map[bool]int{}
 	for n := range uint64(1200) {
--- a/core/dispatch/surge_test.go
+++ b/core/dispatch/surge_test.go
@@ -15,20 +15,22 @@
 	"savoryfall/core/routetable"
 )
 
-// surge is a crowd of routers before servers that run what they have slots for, keep some more waiting and turn the rest
-// away.
+// surge is a routerFleet before servers that run as many requests as they have slots, queue some more and refuse the
+// rest.
 type surge struct {
-	*crowd
+	*routerFleet
 	random  *rand.Rand
 	service string
 	servers []*server
 	listed  []directory.Entry
 	byID    map[string]*server
 	n       uint64
-	// reached and over count the requests that met a server, and of these the ones beyond the users' bound, by second.
-	reached, over []int
-	asked, let    [3]int
-	// hotDocuments are how many documents the prompts of the large account begin with, 0 for as many as all others'.
+	// arrivals counts the requests that reached a server in each second, beyondBound those of them that met one beyond
+	// the users' bound.
+	arrivals, beyondBound []int
+	asked, admitted       [3]int
+	// hotDocuments is the number of documents that the prompts of the large account begin with, 0 for the documents of
+	// all others.
 	hotDocuments uint64
 }
 
@@ -37,16 +39,16 @@
 	slots, queue int
 	running      []job
 	waiting      []job
-	// reads is until when the server reads prompts, one after the other.
-	reads time.Time
-	// loses counts the requests of which the server loses the answer to every third.
-	loses bool
-	ended int
-	// lost are the requests whose answers it has lost.
+	// readsUntil is until when the server reads prompts, one after the other.
+	readsUntil time.Time
+	// losesAnswers makes the server lose the answer to every third request.
+	losesAnswers bool
+	ended        int
+	// lost are the requests whose answers were lost and that were not retried yet.
 	lost []job
 }
 
-// job is one request at a server: when it begins to answer, zero once it has, and when it ends.
+// job is one request at a server. first is when it begins to answer, zero once it has; ends is when it ends.
 type job struct {
 	attempt     *dispatch.Attempt
 	q           dispatch.Query
@@ -56,7 +58,7 @@
 
 func newSurge(t *testing.T, seed uint64, routers int, service string, servers, slots int) *surge {
 	s := &surge{
-		crowd: &crowd{t: t, now: start}, random: rand.New(rand.NewPCG(seed, seed)), service: service,
+		routerFleet: &routerFleet{t: t, now: start}, random: rand.New(rand.NewPCG(seed, seed)), service: service,
 		byID: map[string]*server{},
 	}
 	var entries []directory.Entry
@@ -82,16 +84,16 @@
 	return s
 }
 
-// ask sends requests at a rate for some time. One account in ten sends hot times its part.
-func (s *surge) ask(perSecond, hot float64, d time.Duration, request func() (dispatch.Query, time.Duration)) {
+// generate sends requests at a rate for some time. One account in ten sends hot times its share.
+func (s *surge) generate(perSecond, hot float64, d time.Duration, request func() (dispatch.Query, time.Duration)) {
 	perSecond *= 0.9 + 0.1*hot
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second)))
 		for _, v := range s.servers {
-			v.step(s.now)
+			v.advance(s.now)
 		}
-		s.report()
-		s.again()
+		s.exchangeReports()
+		s.retryLost()
 		q, work := request()
 		q.Service, q.Account = s.service, "hot"
 		if u := s.random.Float64() * (0.9 + 0.1*hot); u < 0.9 {
@@ -103,13 +105,13 @@
 		s.asked[q.Rank]++
 		s.n++
 		if s.send(q, work) {
-			s.let[q.Rank]++
+			s.admitted[q.Rank]++
 		}
 	}
 }
 
-// again tries the requests whose answers were lost once more elsewhere.
-func (s *surge) again() {
+// retryLost retries the requests whose answers were lost at other servers.
+func (s *surge) retryLost() {
 	for _, v := range s.servers {
 		for _, j := range v.lost {
 			j.q.Tried = []string{v.id}
@@ -119,7 +121,7 @@
 	}
 }
 
-// send tries a second endpoint when the first turns the request away.
+// send tries a second endpoint when the first refuses the request.
 func (s *surge) send(q dispatch.Query, work time.Duration) bool {
 	d := s.routers[s.random.IntN(len(s.routers))]
 	for range 2 {
@@ -128,8 +130,8 @@
 			return false
 		}
 		v := s.byID[a.Endpoint().ID]
-		s.meet(v)
-		if v.take(job{attempt: a, q: q, work: work}, s.now) {
+		s.countArrival(v)
+		if v.accept(job{attempt: a, q: q, work: work}, s.now) {
 			return true
 		}
 		a.End(dispatch.Refused, s.now)
@@ -138,40 +140,41 @@
 	return false
 }
 
-// meet counts a request that reaches the server, and whether it holds over twice the mean and three.
-func (s *surge) meet(v *server) {
-	held := 0
+// countArrival counts a request that reaches the server, and whether the server holds more than twice the mean and
+// three.
+func (s *surge) countArrival(v *server) {
+	total := 0
 	for _, o := range s.servers {
-		held += o.holds()
+		total += o.load()
 	}
-	for len(s.reached) <= int(s.now.Sub(start)/time.Second) {
-		s.reached, s.over = append(s.reached, 0), append(s.over, 0)
+	for len(s.arrivals) <= int(s.now.Sub(start)/time.Second) {
+		s.arrivals, s.beyondBound = append(s.arrivals, 0), append(s.beyondBound, 0)
 	}
-	s.reached[len(s.reached)-1]++
-	if float64(v.holds()) > 2*float64(held)/float64(len(s.servers))+3 {
-		s.over[len(s.over)-1]++
+	s.arrivals[len(s.arrivals)-1]++
+	if float64(v.load()) > 2*float64(total)/float64(len(s.servers))+3 {
+		s.beyondBound[len(s.beyondBound)-1]++
 	}
 }
 
-// worst is the largest part of requests beyond the bound in any five seconds.
-func (s *surge) worst() (part float64) {
-	for i := range max(len(s.reached)-4, 1) {
-		reached, over := 0, 0
-		for j := i; j < min(i+5, len(s.reached)); j++ {
-			reached += s.reached[j]
-			over += s.over[j]
+// worstShare returns the largest share of requests beyond the bound in any five seconds.
+func (s *surge) worstShare() (share float64) {
+	for i := range max(len(s.arrivals)-4, 1) {
+		arrivals, beyondBound := 0, 0
+		for j := i; j < min(i+5, len(s.arrivals)); j++ {
+			arrivals += s.arrivals[j]
+			beyondBound += s.beyondBound[j]
 		}
-		part = max(part, float64(over)/float64(reached))
+		share = max(share, float64(beyondBound)/float64(arrivals))
 	}
-	return part
+	return share
 }
 
-func (v *server) holds() int { return len(v.running) + len(v.waiting) }
+func (v *server) load() int { return len(v.running) + len(v.waiting) }
 
-func (v *server) take(j job, now time.Time) bool {
+func (v *server) accept(j job, now time.Time) bool {
 	switch {
 	case len(v.running) < v.slots:
-		v.run(j, now)
+		v.begin(j, now)
 	case len(v.waiting) < v.queue:
 		v.waiting = append(v.waiting, j)
 	default:
@@ -180,19 +183,19 @@
 	return true
 }
 
-// run begins with a request: it reads the prompt when those before it are read, and answers.
-func (v *server) run(j job, now time.Time) {
-	if v.reads.Before(now) {
-		v.reads = now
+// begin starts a request: it reads the prompt when those before it are read, and then answers.
+func (v *server) begin(j job, now time.Time) {
+	if v.readsUntil.Before(now) {
+		v.readsUntil = now
 	}
-	v.reads = v.reads.Add(time.Duration(j.attempt.Missing()) * time.Millisecond / 100)
-	j.first = v.reads
+	v.readsUntil = v.readsUntil.Add(time.Duration(j.attempt.MissingTokens()) * time.Millisecond / 100)
+	j.first = v.readsUntil
 	j.ends = j.first.Add(j.work)
 	v.running = append(v.running, j)
 }
 
-// step lets requests answer and end, in the order in which they do.
-func (v *server) step(now time.Time) {
+// advance lets requests answer and end, in order of time.
+func (v *server) advance(now time.Time) {
 	for {
 		next := -1
 		for i := range v.running {
@@ -218,25 +221,25 @@
 		if len(v.waiting) > 0 {
 			w := v.waiting[0]
 			v.waiting = v.waiting[1:]
-			v.run(w, j.ends)
+			v.begin(w, j.ends)
 		}
 	}
 }
 
-// verdict is how the next attempt ends.
+// verdict returns how the next attempt ends.
 func (v *server) verdict() dispatch.Verdict {
 	v.ended++
-	if v.loses && v.ended%3 == 0 {
+	if v.losesAnswers && v.ended%3 == 0 {
 		return dispatch.Broken
 	}
 	return dispatch.Served
 }
 
-// Callers of a plain service that does their calls in 15 ms come six times as often as usual, a little more than four
-// servers can do, one account far more than the others. Eighty routers hear of each other's calls when these have long
-// ended. They all sent to the server that had been least loaded, then found all full, turned away half of the calls, the
-// most urgent among them, and began anew: a third of the calls met a server with over twice the mean. All must be spread
-// evenly meanwhile, and what is more than the servers can do is turned away by rank.
+// A plain service answers calls in 15 ms. Calls come six times as often as usual, slightly more than four servers can
+// do, one account far more than the others. Eighty routers hear of each other's calls long after these have ended. All of
+// them sent to the server that had been least loaded, then found all full, refused half of the calls, the most urgent
+// among them, and began anew: a third of the calls met a server with more than twice the mean. Calls must be spread
+// evenly, and those that the servers cannot do refused by rank.
 func TestSurgeOfCallsIsSpread(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -248,17 +251,17 @@
 				ms := 15 * math.Exp(0.5*s.random.NormFloat64()-0.125)
 				return dispatch.Query{Rank: s.random.IntN(3)}, time.Duration(ms * float64(time.Millisecond))
 			}
-			s.ask(280, 1, 3*time.Second, call)
-			s.ask(980, 8, 5*time.Second, call)
-			t.Logf("beyond the bound %v of %v, let in %v of %v", s.over, s.reached, s.let, s.asked)
-			assert.Assert(t, s.worst() <= 0.03, "%.3f", s.worst())
-			assert.Assert(t, s.let[0] > s.asked[0]*95/100, "%v of %v", s.let, s.asked)
-			assert.Assert(t, s.let[0]+s.let[1]+s.let[2] > (s.asked[0]+s.asked[1]+s.asked[2])*80/100, "%v of %v", s.let, s.asked)
+			s.generate(280, 1, 3*time.Second, call)
+			s.generate(980, 8, 5*time.Second, call)
+			t.Logf("beyond the bound %v of %v, let in %v of %v", s.beyondBound, s.arrivals, s.admitted, s.asked)
+			assert.Assert(t, s.worstShare() <= 0.03, "%.3f", s.worstShare())
+			assert.Assert(t, s.admitted[0] > s.asked[0]*95/100, "%v of %v", s.admitted, s.asked)
+			assert.Assert(t, s.admitted[0]+s.admitted[1]+s.admitted[2] > (s.asked[0]+s.asked[1]+s.asked[2])*80/100, "%v of %v", s.admitted, s.asked)
 		})
 	}
 }
 
-// stream is one of three kinds, for one of some hundred documents.
+// stream returns one of three kinds of stream, for one of some hundred documents.
 func (s *surge) stream() (q dispatch.Query, work time.Duration) {
 	q.Prompt = document(s.random.Uint64N(700), s.n)
 	switch u := s.random.Float64(); {
@@ -272,10 +275,10 @@
 	return q, 130 * time.Millisecond
 }
 
-// Streams come six times as often as usual, twice what the engines have places for, and thirty routers see some hundred
-// milliseconds late that nearly all places are taken. Each sent what it still let in to the engines that did not look
-// full yet, all of them to the same few, which held up to four times what they have places for, while the places that
-// became free elsewhere stayed empty.
+// Streams come six times as often as usual, twice what the engines can hold, and the routers see some hundred
+// milliseconds late that nearly all slots are taken. Each sent what it still admitted to the few engines that did not
+// look full yet. These held up to four times what they have slots for, while slots that became free elsewhere stayed
+// empty.
 func TestSurgeOfStreamsIsSpread(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -283,32 +286,32 @@
 			t.Parallel()
 			const engines, slots = 90, 24
 			s := newSurge(t, seed, 81, models, engines, slots)
-			s.ask(800, 1, 2*time.Second, s.stream)
-			s.ask(2800, 8, 3*time.Second/2, s.stream)
-			t.Logf("beyond the bound %v of %v, let in %v of %v", s.over, s.reached, s.let, s.asked)
-			assert.Assert(t, s.worst() <= 0.03, "%.3f", s.worst())
+			s.generate(800, 1, 2*time.Second, s.stream)
+			s.generate(2800, 8, 3*time.Second/2, s.stream)
+			t.Logf("beyond the bound %v of %v, let in %v of %v", s.beyondBound, s.arrivals, s.admitted, s.asked)
+			assert.Assert(t, s.worstShare() <= 0.03, "%.3f", s.worstShare())
 		})
 	}
 }
 
-// Nearly half of the requests of such a surge are of one account, whose streams begin with eight documents. Each router
-// sends them where the document is warm and hears only some hundred milliseconds later that all others did so too: in the
-// first second the engines that hold one of them are sent more than twice the mean.
+// Nearly half of the requests of such a surge are from one account, whose prompts begin with eight documents. Each
+// router sends them where the document is cached, and hears only some hundred milliseconds later that all others did
+// so too: in the first second the engines that cache one of them were sent more than twice the mean.
 func TestSurgeOfAFewDocumentsIsSpread(t *testing.T) {
 	t.Parallel()
 	s := newSurge(t, 0, 81, models, 90, 24)
 	s.hotDocuments = 8
-	s.ask(800, 1, 2*time.Second, s.stream)
-	s.ask(2800, 8, 3*time.Second, s.stream)
-	t.Logf("beyond the bound %v of %v, let in %v of %v", s.over, s.reached, s.let, s.asked)
-	assert.Assert(t, s.worst() <= 0.03, "%.3f", s.worst())
+	s.generate(800, 1, 2*time.Second, s.stream)
+	s.generate(2800, 8, 3*time.Second, s.stream)
+	t.Logf("beyond the bound %v of %v, let in %v of %v", s.beyondBound, s.arrivals, s.admitted, s.asked)
+	assert.Assert(t, s.worstShare() <= 0.03, "%.3f", s.worstShare())
 }
 
-// A router does a call in 15 ms and has none for a while. Others have so many urgent ones that these take half of the
-// places at any time. The router forgot how long a call holds its place, planned for 600 ms, in which forty times as many
-// come, and turned away everybody else.
+// A router does a call in 15 ms and has none for a while. The others have so many urgent ones that these take half of
+// the slots at any time. The router forgot the hold time of a call, planned for 600 ms, in which forty times as many
+// calls come, and refused all less urgent calls.
 func TestHoldTimeIsNotForgotten(t *testing.T) {
-	d, _ := fleet(4)
+	d, _ := newDispatcher(4)
 	a := choose(t, d, dispatch.Query{Service: plain, Rank: 1}, start)
 	now := start.Add(15 * time.Millisecond)
 	a.End(dispatch.Served, now)
@@ -317,11 +320,11 @@
 	choose(t, d, dispatch.Query{Service: plain, Rank: 1}, now)
 }
 
-// Servers that are full turn calls away at once. These counted as calls that hold a place for no time at all, so that
-// every router took the service for one with room and let everybody in. Three times as many urgent calls come as can be
-// done: others must be turned away all the same.
+// Full servers refuse calls at once. These counted as calls with no hold time at all, so that every router took the
+// service for one with free capacity and admitted everything. Three times as many urgent calls come as can be done:
+// less urgent ones must still be refused.
 func TestRefusalsDoNotCountAsShortCalls(t *testing.T) {
-	d, _ := fleet(4)
+	d, _ := newDispatcher(4)
 	now := start
 	for range 5 {
 		a := choose(t, d, dispatch.Query{Service: plain}, now)
@@ -337,9 +340,9 @@
 	assert.Equal(t, why, dispatch.ReasonReserved)
 }
 
-// urgentCalls are those of other routers: so many a second, and so many running, spread over four endpoints.
+// urgentCalls returns the work of other routers: calls at a rate, and some running, spread over four endpoints.
 func urgentCalls(t *testing.T, perSecond float64, running int) board.Work {
-	other, _ := fleet(4)
+	other, _ := newDispatcher(4)
 	for range running {
 		choose(t, other, dispatch.Query{Service: plain}, start)
 	}
@@ -348,10 +351,10 @@
 	return w
 }
 
-// Other routers told of calls that an endpoint works on though nobody waits for them. They count until they have ended,
-// some ten milliseconds, and not until the next word, when the endpoint has long been free.
+// Other routers reported untracked calls, which an endpoint works on though nobody waits for them. They must count
+// until they have ended, some ten milliseconds, and not until the next report, when the endpoint has long been free.
 func TestHiddenCallsOfOthersEnd(t *testing.T) {
-	d, _ := fleet(1)
+	d, _ := newDispatcher(1)
 	a := choose(t, d, dispatch.Query{Service: plain}, start)
 	now := start.Add(15 * time.Millisecond)
 	own := d.Work(start)
