--- a/core/candidate/candidate.go
+++ b/core/candidate/candidate.go
@@ -2,7 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Candidate is one endpoint as the placement sees it; it holds numbers only, so that thousands lie side by side.
+// Candidate is an endpoint as the placement policies see it. It holds no pointers, so that thousands lie side by side
+// in memory.
 type Candidate struct {
 	hash     uint64
 	weight   float64
@@ -12,39 +13,39 @@
 	young    bool
 }
 
-// New makes an unloaded, usable candidate.
+// New returns an unloaded, usable candidate.
 func New(name string, weight float64) Candidate {
 	return Candidate{hash: xxhash.Sum64String(name), weight: weight, usable: true}
 }
 
-// Hash is that of the endpoint's name.
+// Hash returns the hash of the endpoint's name.
 func (c *Candidate) Hash() uint64 { return c.hash }
 
-// Weight is the capacity relative to the others.
+// Weight returns the endpoint's capacity relative to that of the others.
 func (c *Candidate) Weight() float64 { return c.weight }
 
-// Requests is how many requests the endpoint is expected to hold.
+// Requests returns how many requests the endpoint is expected to hold.
 func (c *Candidate) Requests() float64 { return c.requests }
 
-// Tokens is how many tokens it is expected to have to make still.
+// Tokens returns how many tokens the endpoint is expected to still have to generate.
 func (c *Candidate) Tokens() float64 { return c.tokens }
 
-// Usable tells whether new work may go to it.
+// Usable reports whether the endpoint may get new work.
 func (c *Candidate) Usable() bool { return c.usable }
 
-// SetLoad replaces the expected load.
+// SetLoad sets the expected load.
 func (c *Candidate) SetLoad(requests, tokens float64) {
 	c.requests, c.tokens = requests, tokens
 }
 
-// SetUsable allows or forbids new work.
+// SetUsable sets whether the endpoint may get new work.
 func (c *Candidate) SetUsable(usable bool) { c.usable = usable }
 
-// SetWeight replaces the weight.
+// SetWeight sets the weight.
 func (c *Candidate) SetWeight(weight float64) { c.weight = weight }
 
-// Young tells whether the endpoint has just come, so that no chat from before can be warm there.
+// Young reports whether the endpoint was added recently, so that it has no earlier chat in its cache.
 func (c *Candidate) Young() bool { return c.young }
 
-// SetYoung marks an endpoint that has just come.
+// SetYoung sets whether the endpoint was added recently.
 func (c *Candidate) SetYoung(young bool) { c.young = young }
--- a/core/candidate/doc.go
+++ b/core/candidate/doc.go
@@ -1,2 +1,2 @@
-// Package candidate holds what is known of one endpoint when a request is placed.
+// Package candidate holds what the placement of a request knows of one endpoint.
 package candidate
