--- a/core/outcome/doc.go
+++ b/core/outcome/doc.go
@@ -1,2 +1,2 @@
-// Package outcome says whether a request ran: notRun, ran or unknown.
+// Package outcome defines whether a request was executed: notRun, ran or unknown.
 package outcome
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -1,13 +1,13 @@
 package outcome
 
-// Outcome is what a caller is told about whether its request ran.
+// Outcome tells a caller whether its request was executed.
 type Outcome string
 
 const (
-	// NotRun promises that no byte of the request can have been acted on.
+	// NotRun guarantees that no byte of the request can have had an effect.
 	NotRun Outcome = "notRun"
-	// Ran says that the endpoint answered the request.
+	// Ran means that the endpoint answered the request.
 	Ran Outcome = "ran"
-	// Unknown says that the request may or may not have run.
+	// Unknown means that the request may or may not have been executed.
 	Unknown Outcome = "unknown"
 )
