--- a/core/prompt/chain.go
+++ b/core/prompt/chain.go
@@ -1,15 +1,16 @@
 package prompt
 
-// Part is one piece of a prompt; equal ids hold equal tokens.
+// Part is one piece of a prompt. Parts with equal ids hold equal tokens.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Chain is the parts of a prompt in order; an engine reuses a cached part only when it holds all parts before it too.
+// Chain is the parts of a prompt in order. An engine can reuse a cached part only if it has cached all parts before it
+// too.
 type Chain []Part
 
-// Tokens is the length of the whole prompt.
+// Tokens returns the length of the whole prompt.
 func (c Chain) Tokens() (n int) {
 	for _, p := range c {
 		n += p.Tokens
@@ -17,8 +18,9 @@
 	return n
 }
 
-// Key is what places the chain: the last part that other requests have too. The last part of all belongs to the
-// request or its chat alone, so it would scatter requests that share the long part before it.
+// Key returns the id that decides where the chain is placed: that of the last part shared with other requests. The
+// very last part belongs to the request or its chat alone, so it would scatter requests that share the long part
+// before it.
 func (c Chain) Key() uint64 {
 	switch len(c) {
 	case 0:
