--- a/core/ask/problem.go
+++ b/core/ask/problem.go
@@ -9,7 +9,7 @@
 // Reason is why a request was not served.
 type Reason string
 
-// The reasons that a client is told, and that logs and metrics name.
+// The reasons that clients are told, and that logs and metrics name.
 const (
 	Malformed       Reason = "malformed"
 	HeaderTooLarge  Reason = "headerTooLarge"
@@ -28,7 +28,7 @@
 	Broken          Reason = "broken"
 	Late            Reason = "late"
 	Gone            Reason = "clientGone"
-	// ConnectionEnded says that this router has ended the client's connection.
+	// ConnectionEnded means that this router has closed the client's connection.
 	ConnectionEnded Reason = "connectionEnded"
 )
 
@@ -36,17 +36,17 @@
 type Problem struct {
 	Reason  Reason
 	Outcome outcome.Outcome
-	// Back is when the client should come back, 0 when it should not.
+	// Back is when the client should retry, 0 if it should not.
 	Back time.Duration
 }
 
-// Error names the reason and whether the request ran.
+// Error returns the reason and whether the request was executed.
 func (p *Problem) Error() string { return string(p.Reason) + " (" + string(p.Outcome) + ")" }
 
-// NotRun is a problem of a request that has not run and will not.
+// NotRun returns a problem of a request that was not executed and will not be.
 func NotRun(r Reason, back time.Duration) *Problem {
 	return &Problem{Reason: r, Outcome: outcome.NotRun, Back: back}
 }
 
-// Unknown is a problem of a request that may have run.
+// Unknown returns a problem of a request that may have been executed.
 func Unknown(r Reason) *Problem { return &Problem{Reason: r, Outcome: outcome.Unknown} }
