--- a/core/comeback/after.go
+++ b/core/comeback/after.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// soonest is when to come back at the earliest: some plain calls, or steps of streams, later.
-	soonest = 200 * time.Millisecond
-	// goalShare is the part of the time within which an answer has its full worth that a client may spend on coming
-	// back once: what is left is enough to serve it on time.
-	goalShare = 0.5
-	// leftShare is the part of its time that a client is asked to wait at most. It must still be served after it.
-	leftShare = 1.0 / 3
-	// spread is how far a time may be from the middle, as a part of it: clients that were refused together would come
-	// back together.
-	spread = 0.25
+	// minDelay is the shortest delay: the time of some plain calls, or of some steps of streams.
+	minDelay = 200 * time.Millisecond
+	// goalFraction is the part of the latency goal that a client may spend on waiting before one retry: what is left
+	// is enough to serve it on time.
+	goalFraction = 0.5
+	// maxLeftFraction bounds the delay as a part of the client's remaining time. The request must still be served
+	// after it.
+	maxLeftFraction = 1.0 / 3
+	// jitter is how far a delay may be from its mean, as a part of it: clients that were refused together would
+	// otherwise retry together.
+	jitter = 0.25
 )
 
-// After is when to come back to a service that has been full for that long. How long an overload still lasts is not
-// known; the best guess is as long again. A client that comes back into the same overload is refused for the last time,
-// since clients try only a few times. Near the beginning the client may still be served on time, which a short
-// overload allows. The draw is uniform in [0, 1).
+// After returns the delay after which to retry at a service that has been full for the given time. How long an
+// overload still lasts is not known; the best guess is as long as it has lasted. A client that retries during the same
+// overload is refused for the last time, because clients try only a few times. Early in an overload the delay is short
+// enough to serve the client on time, in case the overload is short. draw is a uniform random number in [0, 1).
 func After(full, goal, left time.Duration, draw float64) time.Duration {
-	d := max(full, time.Duration(goalShare*float64(goal)), soonest)
-	d = time.Duration(float64(d) * (1 - spread + 2*spread*draw))
-	return max(min(d, time.Duration(leftShare*float64(left))), 0)
+	delay := max(full, time.Duration(goalFraction*float64(goal)), minDelay)
+	delay = time.Duration(float64(delay) * (1 - jitter + 2*jitter*draw))
+	return max(min(delay, time.Duration(maxLeftFraction*float64(left))), 0)
 }
--- a/core/comeback/after_test.go
+++ b/core/comeback/after_test.go
@@ -9,9 +9,9 @@
 	"savoryfall/core/comeback"
 )
 
-// A surge lasts eight seconds and lets in one caller in five. Callers try twice. When all came back after 200 ms, whoever
-// was refused once was refused twice; told to come back after as long as the surge has lasted, those of its second half
-// find it over.
+// A surge lasts eight seconds and one client in five is admitted. Clients try twice. When all retried after 200 ms,
+// whoever was refused once was refused twice. With a delay as long as the surge has lasted, those of its second half
+// must find it over.
 func TestComingBackOutlastsASurge(t *testing.T) {
 	const surge, patience, goal = 8 * time.Second, 15 * time.Second, 800 * time.Millisecond
 	outlasted := 0
--- a/core/comeback/doc.go
+++ b/core/comeback/doc.go
@@ -1,2 +1,2 @@
-// Package comeback says when the client of a refused request should come back.
+// Package comeback computes when the client of a refused request should retry.
 package comeback
