--- a/core/coldshare/doc.go
+++ b/core/coldshare/doc.go
@@ -1,5 +1,6 @@
-// Package coldshare divides what an endpoint that has just started bears between the routers of a fleet.
+// Package coldshare divides the request rate that a recently started endpoint can take between the routers of a fleet.
 //
-// An endpoint that is cold fails when it gets more than some requests a second, whoever sends them. The routers send a
-// request at a time, and learn of each other's within some hundred milliseconds: too late for a limit of one second.
+// A cold endpoint fails when it gets more than a certain number of requests a second, whoever sends them. The routers
+// send one request at a time, and learn of each other's within some hundred milliseconds: too late for a limit of one
+// second.
 package coldshare
