--- a/core/drain/doc.go
+++ b/core/drain/doc.go
@@ -1,2 +1,3 @@
-// Package drain keeps which failure domains an operator has drained: their endpoints get no new work until that is over.
+// Package drain tracks which failure domains an operator has drained: their endpoints get no new work until the drain
+// ends.
 package drain
--- a/core/drain/domains.go
+++ b/core/drain/domains.go
@@ -5,21 +5,22 @@
 	"sync"
 )
 
-// Order is an operator's order for a failure domain: to drain it, or that this is over.
+// Order is an operator's order to drain a failure domain, or to end its drain.
 type Order struct {
 	Domain  string
 	Drained bool
-	// Offset is that of the record which gave it.
+	// Offset is that of the log record with the order.
 	Offset int64
 }
 
-// Domains keeps the newest order for each failure domain; the zero value has none drained.
+// Domains keeps the newest order for each failure domain. The zero value has none drained.
 type Domains struct {
 	mu     sync.Mutex
 	orders map[string]Order
 }
 
-// Apply takes an order and tells whether it changed what is drained. One that was overtaken by a newer one changes nothing.
+// Apply applies an order and reports whether it changed what is drained. An order older than the newest one changes
+// nothing.
 func (d *Domains) Apply(o Order) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,8 +39,8 @@
 	return o.Drained != old.Drained
 }
 
-// Replace takes all orders that are in force, and tells whether that changed what is drained. The domains that they do not
-// name are no longer drained, but for the kept ones, of which nothing newer is known.
+// Replace applies all orders that are in force, and reports whether that changed what is drained. Domains without an
+// order are no longer drained, except for the kept ones, of which nothing newer is known.
 func (d *Domains) Replace(orders []Order, kept []string) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,7 +61,7 @@
 	return changed
 }
 
-// Drained are the failure domains that are drained, in order.
+// Drained returns the drained failure domains, sorted.
 func (d *Domains) Drained() (domains []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
