--- a/core/retryshare/doc.go
+++ b/core/retryshare/doc.go
@@ -1,2 +1,2 @@
-// Package retryshare gives a router its part of the retries that all routers together may send to a service.
+// Package retryshare gives a router its share of the retries that all routers together may send to a service.
 package retryshare
--- a/core/retryshare/share.go
+++ b/core/retryshare/share.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Share counts first attempts and retries of this router in sliding windows, by service. The fleet's bound is a
-// ratio of the requests plus a fixed slack in any window. The ratio splits by itself, since each router applies it to
-// what it saw; the slack is divided by the number of routers. A router that has just started has seen nothing and has
-// only its part of the slack, so that a herd of restarts mints no retries. The zero value allows none.
+// Share counts first attempts and retries of this router in sliding windows, by service. The fleet's bound in any
+// window is a ratio of the requests plus a fixed slack. The ratio needs no division, since each router applies it to
+// its own requests; the slack is divided by the number of routers. A router that has just started has counted nothing
+// and has only its part of the slack, so that many restarts at once add no retries. The zero value allows none.
 type Share struct {
 	mu     sync.Mutex
 	limits Limits
-	// since is when counting began: slots are counted on the runtime's clock, because the time of day jumps.
-	since time.Time
-	by    map[string]*counts
+	// epoch is when counting began. Slots are counted on the monotonic clock, because the wall clock jumps.
+	epoch     time.Time
+	byService map[string]*slidingCounts
 }
 
-// Limits are those of the whole fleet.
+// Limits are the limits of the whole fleet.
 type Limits struct {
-	// Ratio is how many retries there may be for each request, Slack how many more in a window.
+	// Ratio is how many retries are allowed for each request, Slack how many more in a window.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -28,27 +28,27 @@
 }
 
 const (
-	// slots is into how many parts a window is cut; retries count one part longer than the window, since the
-	// windows that they are judged by begin at any moment.
-	slots = 20
-	// keep is the part of the fleet's bound that is given out; the rest covers clocks, requests that are judged in
-	// another window than they were counted in, and routers not yet known.
-	keep = 0.8
+	// windowSlots is the number of slots of a window. Counts are kept for one slot longer than the window, because the
+	// windows by which the retries are judged begin at any moment.
+	windowSlots = 20
+	// usableShare is the part of the fleet's bound that is used. The rest covers clock differences, requests that are
+	// judged in another window than they were counted in, and routers that are not known yet.
+	usableShare = 0.8
 )
 
-// counts are rings of slots, each for a part of a window.
-type counts struct {
-	firsts  [slots + 1]int
-	retries [slots + 1]int
-	at      int64
+// slidingCounts are ring buffers with the counts of each slot of a window.
+type slidingCounts struct {
+	firsts  [windowSlots + 1]int
+	retries [windowSlots + 1]int
+	slot    int64
 }
 
-// SetLimits replaces the limits; counts are kept.
+// SetLimits replaces the limits. The counts are kept unless the window changes.
 func (s *Share) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Window != s.limits.Window {
-		s.by = nil
+		s.byService = nil
 	}
 	s.limits = l
 }
@@ -57,64 +57,64 @@
 func (s *Share) First(service string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c := s.counts(service, now); c != nil {
-		c.firsts[c.at%(slots+1)]++
+	if c := s.slidingCounts(service, now); c != nil {
+		c.firsts[c.slot%(windowSlots+1)]++
 	}
 }
 
-// Allow counts a retry at the service, if there is room for it.
+// Allow reports whether a retry at the service is allowed, and counts it if so.
 func (s *Share) Allow(service string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.counts(service, now)
-	if c == nil || s.left(c) < 1 {
+	c := s.slidingCounts(service, now)
+	if c == nil || s.remaining(c) < 1 {
 		return false
 	}
-	c.retries[c.at%(slots+1)]++
+	c.retries[c.slot%(windowSlots+1)]++
 	return true
 }
 
-// Left is how many retries at the service this router may make now.
+// Left returns how many retries at the service this router may make now.
 func (s *Share) Left(service string, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.counts(service, now)
+	c := s.slidingCounts(service, now)
 	if c == nil {
 		return 0
 	}
-	return s.left(c)
+	return s.remaining(c)
 }
 
-func (s *Share) left(c *counts) float64 {
+func (s *Share) remaining(c *slidingCounts) float64 {
 	firsts, retries := 0, 0
 	for i := range c.firsts {
 		firsts += c.firsts[i]
 		retries += c.retries[i]
 	}
 	slack := s.limits.Slack / float64(max(s.limits.Routers, 1))
-	return keep*(s.limits.Ratio*float64(firsts)+slack) - float64(retries)
+	return usableShare*(s.limits.Ratio*float64(firsts)+slack) - float64(retries)
 }
 
-// counts moves the rings of the service on to now.
-func (s *Share) counts(service string, now time.Time) *counts {
+// slidingCounts returns the counts of the service, advanced to now.
+func (s *Share) slidingCounts(service string, now time.Time) *slidingCounts {
 	if s.limits.Window <= 0 {
 		return nil
 	}
-	if s.by == nil {
-		s.by, s.since = map[string]*counts{}, now
+	if s.byService == nil {
+		s.byService, s.epoch = map[string]*slidingCounts{}, now
 	}
-	at := int64(now.Sub(s.since) / (s.limits.Window / slots))
-	c := s.by[service]
+	slot := int64(now.Sub(s.epoch) / (s.limits.Window / windowSlots))
+	c := s.byService[service]
 	if c == nil {
-		c = &counts{at: at}
-		s.by[service] = c
+		c = &slidingCounts{slot: slot}
+		s.byService[service] = c
 	}
-	if at-c.at > slots {
-		c.at = at - slots - 1
+	if slot-c.slot > windowSlots {
+		c.slot = slot - windowSlots - 1
 	}
-	for c.at < at {
-		c.at++
-		c.firsts[c.at%(slots+1)], c.retries[c.at%(slots+1)] = 0, 0
+	for c.slot < slot {
+		c.slot++
+		c.firsts[c.slot%(windowSlots+1)], c.retries[c.slot%(windowSlots+1)] = 0, 0
 	}
 	return c
 }
--- a/core/retryshare/share_test.go
+++ b/core/retryshare/share_test.go
@@ -30,7 +30,7 @@
 }
 
 // All routers are killed at once and start again with no history. Each has only its part of the slack: together they
-// stay within the fleet's.
+// must stay within the fleet's.
 func TestRestartsMintNoRetries(t *testing.T) {
 	total := 0
 	for range 10 {
@@ -44,7 +44,7 @@
 	assert.Assert(t, total >= 30, "%d", total)
 }
 
-// In every window, for any course of requests and retries, all routers together stay within the fleet's bound.
+// In every window, for any sequence of requests and retries, all routers together must stay within the fleet's bound.
 func TestFleetStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 4
@@ -84,8 +84,8 @@
 	return n
 }
 
-// The time of day jumps; the windows must neither empty nor stand still.
-func TestWindowMovesWithTheGivenClock(t *testing.T) {
+// The wall clock jumps; the windows must neither empty nor stand still.
+func TestWindowFollowsTheGivenClock(t *testing.T) {
 	var s retryshare.Share
 	s.SetLimits(limits(1))
 	n := 0
