--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -2,53 +2,53 @@
 
 import "sync"
 
-// Budget allows retries in proportion to first attempts; the zero value allows only its small reserve.
-// Without it, a failing pool would get several times its normal load from retries just when it can bear least.
+// Budget limits retries in proportion to first attempts. The zero value allows only a small number of initial retries.
+// Without it, a failing pool would get several times its normal load from retries when it can handle the least.
 type Budget struct {
-	mu    sync.Mutex
-	ratio float64
-	saved map[string]float64
+	mu     sync.Mutex
+	ratio  float64
+	tokens map[string]float64
 }
 
 const (
-	// reserve lets a quiet pool move the streams of one engine that dies.
-	reserve = 20
-	// most bounds what a long calm can save up for a storm.
-	most = 500
+	// initialTokens lets a pool with little traffic move the streams of one engine that dies.
+	initialTokens = 20
+	// maxTokens bounds how many retries a long calm period can save up.
+	maxTokens = 500
 )
 
-// NewBudget allows ratio retries for each first attempt.
+// NewBudget returns a budget that allows ratio retries for each first attempt.
 func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio} }
 
 // First counts a first attempt at the pool.
 func (b *Budget) First(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.set(pool, min(b.get(pool)+b.ratio, most))
+	b.set(pool, min(b.get(pool)+b.ratio, maxTokens))
 }
 
-// Allow takes one retry out of the pool's budget, if there is one.
+// Allow reports whether the pool's budget allows a retry, and takes it out of the budget.
 func (b *Budget) Allow(pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	saved := b.get(pool)
-	if saved < 1 {
+	tokens := b.get(pool)
+	if tokens < 1 {
 		return false
 	}
-	b.set(pool, saved-1)
+	b.set(pool, tokens-1)
 	return true
 }
 
 func (b *Budget) get(pool string) float64 {
-	if saved, ok := b.saved[pool]; ok {
-		return saved
+	if tokens, ok := b.tokens[pool]; ok {
+		return tokens
 	}
-	return reserve
+	return initialTokens
 }
 
-func (b *Budget) set(pool string, saved float64) {
-	if b.saved == nil {
-		b.saved = map[string]float64{}
+func (b *Budget) set(pool string, tokens float64) {
+	if b.tokens == nil {
+		b.tokens = map[string]float64{}
 	}
-	b.saved[pool] = saved
+	b.tokens[pool] = tokens
 }
