--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -15,13 +15,13 @@
 	set *metrics.Set
 }
 
-// New makes a meter that counts into the set.
+// New returns a meter whose counters are registered in the set.
 func New(set *metrics.Set) *Meter { return &Meter{set: set} }
 
-// Kind is what control traffic is for.
+// Kind is the purpose of control traffic, and the value of the label kind.
 type Kind string
 
-// The kinds of control traffic.
+// Kinds of control traffic.
 const (
 	KindPeer    Kind = "peer"
 	KindProbe   Kind = "probe"
@@ -29,22 +29,22 @@
 	KindVMList  Kind = "vmList"
 	KindOrders  Kind = "orders"
 	dialTimeout      = 2 * time.Second
-	metricName       = `savoryfall_control_bytes_total{kind=%q,direction=%q}`
+	bytesMetric      = `savoryfall_control_bytes_total{kind=%q,direction=%q}`
 )
 
-// Kinds are all kinds.
+// Kinds lists all kinds.
 var Kinds = []Kind{KindPeer, KindProbe, KindLog, KindVMList, KindOrders}
 
 func (m *Meter) counter(k Kind, direction string) *metrics.Counter {
-	return m.set.GetOrCreateCounter(fmt.Sprintf(metricName, string(k), direction))
+	return m.set.GetOrCreateCounter(fmt.Sprintf(bytesMetric, string(k), direction))
 }
 
-// Bytes is how many bytes of the kind were sent and received so far.
+// Bytes returns the number of bytes of the kind sent and received so far.
 func (m *Meter) Bytes(k Kind) (sent, received uint64) {
 	return m.counter(k, "sent").Get(), m.counter(k, "received").Get()
 }
 
-// Dial is a DialContext that counts what passes.
+// Dial returns a DialContext function whose connections are counted.
 func (m *Meter) Dial(k Kind) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -56,50 +56,50 @@
 	}
 }
 
-// Transport is an HTTP transport that counts what passes.
+// Transport returns an HTTP transport whose connections are counted.
 func (m *Meter) Transport(k Kind) *http.Transport {
 	return &http.Transport{DialContext: m.Dial(k), MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, DisableCompression: true}
 }
 
-// Called counts one call of the kind that this process has made.
+// Called counts one call of the kind made by this process.
 func (m *Meter) Called(k Kind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_control_calls_total{kind=%q}`, string(k))).Inc()
 }
 
-// Calls is an HTTP transport that counts the calls made by it, whatever becomes of them.
+// Calls wraps an HTTP transport to count the requests made through it, whatever their outcome.
 func (m *Meter) Calls(k Kind, next http.RoundTripper) http.RoundTripper {
-	return caller{meter: m, kind: k, next: next}
+	return countingTransport{meter: m, kind: k, next: next}
 }
 
-type caller struct {
+type countingTransport struct {
 	meter *Meter
 	kind  Kind
 	next  http.RoundTripper
 }
 
-func (c caller) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.meter.Called(c.kind)
 	return c.next.RoundTrip(r)
 }
 
-// Conn counts what passes through c.
+// Conn wraps a connection to count the bytes read from it and written to it.
 func (m *Meter) Conn(k Kind, c net.Conn) net.Conn {
-	return &conn{Conn: c, sent: m.counter(k, "sent"), received: m.counter(k, "received")}
+	return &countingConn{Conn: c, sent: m.counter(k, "sent"), received: m.counter(k, "received")}
 }
 
-type conn struct {
+type countingConn struct {
 	net.Conn
 	sent     *metrics.Counter
 	received *metrics.Counter
 }
 
-func (c *conn) Read(b []byte) (n int, err error) {
+func (c *countingConn) Read(b []byte) (n int, err error) {
 	n, err = c.Conn.Read(b)
 	c.received.Add(n)
 	return n, err
 }
 
-func (c *conn) Write(b []byte) (n int, err error) {
+func (c *countingConn) Write(b []byte) (n int, err error) {
 	n, err = c.Conn.Write(b)
 	c.sent.Add(n)
 	return n, err
