--- a/core/background/doc.go
+++ b/core/background/doc.go
@@ -1,3 +1,2 @@
-// Package background runs what a service does in the background, and waits for it when the service
-// stops.
+// Package background runs the goroutines of a service, and waits for them when the service stops.
 package background
--- a/core/background/every.go
+++ b/core/background/every.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Every calls the function once a period until the context ends; a call that takes longer than a period delays the next.
-func Every(ctx context.Context, period time.Duration, do func(now time.Time)) {
+// Every calls f once per period until the context ends. A call that takes longer than a period delays the next one.
+func Every(ctx context.Context, period time.Duration, f func(now time.Time)) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
 	for {
@@ -14,7 +14,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			do(now)
+			f(now)
 		}
 	}
 }
--- a/core/background/pause.go
+++ b/core/background/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits until the time is over, the context ends or, where wake is given, something comes on it.
+// Pause sleeps until d has passed, the context ends, or wake (unless nil) receives a value or is closed.
 func Pause(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	if d <= 0 {
 		return
