--- a/core/kernel/kernel.go
+++ b/core/kernel/kernel.go
@@ -8,20 +8,20 @@
 	"savoryfall/core/annotate"
 )
 
-// Service is what the kernel starts and stops; Stop drains until its context ends.
+// Service can be started and stopped by the kernel. Stop drains the service until the context ends.
 type Service interface {
 	Start(ctx context.Context) error
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds the services of one process by name; the zero value is empty.
+// Kernel holds the services of one process by name. The zero value is empty.
 type Kernel struct {
-	names    []string
+	order    []string
 	services map[string]any
-	running  []string
+	started  []string
 }
 
-// Register adds a service under a name that must be free.
+// Register adds a service. It panics if the name is taken.
 func (k *Kernel) Register(name string, service any) {
 	if k.services == nil {
 		k.services = map[string]any{}
@@ -29,11 +29,12 @@
 	if _, taken := k.services[name]; taken {
 		panic("kernel: service registered twice: " + name)
 	}
-	k.names = append(k.names, name)
+	k.order = append(k.order, name)
 	k.services[name] = service
 }
 
-// Find returns the service of that name, for the caller to assert to the interface it declares.
+// Find returns the service with the given name, and panics if there is none. The caller asserts it to an interface of
+// its own.
 func (k *Kernel) Find(name string) any {
 	s, ok := k.services[name]
 	if !ok {
@@ -42,12 +43,12 @@
 	return s
 }
 
-// Lookup returns the service of that name, or nil when this process does without it.
+// Lookup returns the service with the given name, or nil if this process does not have it.
 func (k *Kernel) Lookup(name string) any { return k.services[name] }
 
-// Start starts the services in the order of their registration, and stops the started ones when one fails.
+// Start starts the services in the order of registration. If one fails, it stops those already started.
 func (k *Kernel) Start(ctx context.Context) (err error) {
-	for _, name := range k.names {
+	for _, name := range k.order {
 		s, ok := k.services[name].(Service)
 		if !ok {
 			continue
@@ -57,18 +58,18 @@
 			err = fmt.Errorf("start %s: %w", name, err)
 			return errors.Join(err, k.Stop(ctx))
 		}
-		k.running = append(k.running, name)
+		k.started = append(k.started, name)
 	}
 	return nil
 }
 
-// Stop drains the running services in reverse order; every one is stopped, and all errors are joined.
+// Stop drains the running services in reverse order. All are stopped, and their errors are joined.
 func (k *Kernel) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop services")
-	for i := len(k.running) - 1; i >= 0; i-- {
-		s := k.services[k.running[i]].(Service)
+	for i := len(k.started) - 1; i >= 0; i-- {
+		s := k.services[k.started[i]].(Service)
 		err = errors.Join(err, s.Stop(ctx))
 	}
-	k.running = nil
+	k.started = nil
 	return err
 }
