--- a/core/annotate/doc.go
+++ b/core/annotate/doc.go
@@ -1,2 +1,2 @@
-// Package annotate adds to an error, once and on the way out, what was being done.
+// Package annotate adds context to the error that a function returns.
 package annotate
