--- a/io/bootclock/clock.go
+++ b/io/bootclock/clock.go
@@ -6,15 +6,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since boot, suspension included. The runtime's clock stands still in a suspension, so it cannot tell
-// a router that wakes how old its knowledge is. When the kernel refuses, the runtime's clock is the nearest there is.
+// Now returns the time since boot, including time suspended. The Go runtime's monotonic clock stops during
+// suspension, so a router that resumes could not tell from it how old its data is. If the system call fails, the
+// runtime's clock is used as the closest substitute.
 func Now() time.Duration {
 	var ts unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	if err != nil {
-		return time.Since(started)
+		return time.Since(processStart)
 	}
 	return time.Duration(ts.Nano())
 }
 
-var started = time.Now()
+var processStart = time.Now()
--- a/io/bootclock/doc.go
+++ b/io/bootclock/doc.go
@@ -1,2 +1,2 @@
-// Package bootclock reads the kernel's clock that runs on while the VM is suspended.
+// Package bootclock reads the operating system's clock that keeps running while the VM is suspended.
 package bootclock
