--- a/io/httpserver/doc.go
+++ b/io/httpserver/doc.go
@@ -1,2 +1,2 @@
-// Package httpserver runs an HTTP server as a service of the kernel.
+// Package httpserver runs an HTTP server as a service of core/kernel.
 package httpserver
--- a/io/httpserver/server.go
+++ b/io/httpserver/server.go
@@ -16,32 +16,33 @@
 
 // Server serves one handler on one address.
 type Server struct {
-	conns   *clientconn.Set
-	http    *http.Server
-	options Options
-	stopped atomic.Bool
-	running background.Group
-	cancel  context.CancelFunc
+	conns      *clientconn.Set
+	http       *http.Server
+	options    Options
+	stopped    atomic.Bool
+	goroutines background.Group
+	cancel     context.CancelFunc
 }
 
-// Options bound what a client may do; a zero field means the default of net/http.
+// Options limit what a client may do. A zero field selects the default of net/http.
 type Options struct {
 	MaxHeader     int
 	HeaderTimeout time.Duration
 	TLS           *tls.Config
-	// StopWithin bounds a stop whose context is meant for more important servers; 0 is no bound. What is cut by it is no
-	// failure of the stop.
+	// StopWithin limits the duration of Stop if its context is shared with more important servers; 0 means no limit.
+	// Closing connections at this limit is not reported as an error of Stop.
 	StopWithin time.Duration
 }
 
 const (
 	idleTimeout = 2 * time.Minute
-	// sweepEvery and sweepOftenest bound how often connections that are idle, or late with a header, are looked for.
-	sweepEvery    = time.Second
-	sweepOftenest = 10 * time.Millisecond
+	// maxSweepPeriod and minSweepPeriod limit the period of the sweep for connections that are idle or late with a
+	// header.
+	maxSweepPeriod = time.Second
+	minSweepPeriod = 10 * time.Millisecond
 )
 
-// New takes the address at once, so that it is known before the server starts.
+// New binds the address immediately, so that it is known before the server starts.
 func New(address string, handler http.Handler, o Options) (s *Server, err error) {
 	defer annotate.Error(&err, "listen on %s", address)
 	l, err := net.Listen("tcp", address)
@@ -49,7 +50,7 @@
 		return nil, err
 	}
 	s = &Server{options: o, cancel: func() {}}
-	s.http = &http.Server{Handler: s.leaving(handler), MaxHeaderBytes: o.MaxHeader}
+	s.http = &http.Server{Handler: s.closeWhenStopping(handler), MaxHeaderBytes: o.MaxHeader}
 	s.conns = clientconn.New(l, func() clientconn.Limits {
 		return clientconn.Limits{Idle: idleTimeout, Header: o.HeaderTimeout}
 	})
@@ -57,8 +58,8 @@
 	return s, nil
 }
 
-// leaving asks the client of a stopping server to leave its connection, which ends after the answer.
-func (s *Server) leaving(next http.Handler) http.Handler {
+// closeWhenStopping asks clients of a stopping server to close their connections after the response.
+func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopped.Load() {
 			w.Header().Set("Connection", "close")
@@ -67,24 +68,25 @@
 	})
 }
 
-// Address is the IP number and port that the server listens on.
+// Address returns the IP address and port that the server listens on.
 func (s *Server) Address() string { return s.conns.Addr().String() }
 
 // Start serves in the background.
 func (s *Server) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.running.Go(func() { background.Every(ctx, s.sweepPeriod(), s.conns.Sweep) })
+	s.goroutines.Go(func() { background.Every(ctx, s.sweepPeriod(), s.conns.Sweep) })
 	go s.serve(s.conns)
 	return nil
 }
 
-// sweepPeriod lets a late header, which is found at the second look, end its connection within twice its time.
+// sweepPeriod returns the period of the sweep. A late header is detected by the second sweep, so half the timeout
+// ends its connection within twice the timeout.
 func (s *Server) sweepPeriod() time.Duration {
-	if t := s.options.HeaderTimeout; t > 0 {
-		return max(min(t/2, sweepEvery), sweepOftenest)
+	if headerTimeout := s.options.HeaderTimeout; headerTimeout > 0 {
+		return max(min(headerTimeout/2, maxSweepPeriod), minSweepPeriod)
 	}
-	return sweepEvery
+	return maxSweepPeriod
 }
 
 func (s *Server) serve(l net.Listener) {
@@ -97,15 +99,15 @@
 	}
 }
 
-// Stop takes no new connections, ends those without a request, lets requests that are being read or served end, and cuts
-// what is left when the context ends. http.Server's Shutdown would not do: it ends connections on which a request is being
-// read, and drops requests that it has read.
+// Stop accepts no new connections, closes those without a request, lets requests that are being read or served
+// finish, and closes the remaining connections when the context ends. Shutdown of http.Server is not used because it
+// closes connections on which a request is being read, and drops requests that it has read.
 func (s *Server) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop server on %s", s.Address())
 	s.stopped.Store(true)
 	err = s.drain(ctx)
 	s.cancel()
-	s.running.Stop()
+	s.goroutines.Stop()
 	_ = s.http.Close()
 	return err
 }
@@ -120,13 +122,13 @@
 	return ctx.Err()
 }
 
-// Refuse takes no new connections from now on; what there are go on.
+// Refuse accepts no new connections from now on. Existing connections stay open.
 func (s *Server) Refuse() {
 	s.stopped.Store(true)
 	_ = s.conns.Close()
 }
 
-// Kill cuts everything at once, as the loss of the VM would.
+// Kill closes everything at once, as if the VM were lost.
 func (s *Server) Kill() {
 	s.Refuse()
 	s.cancel()
--- a/io/httpserver/server_test.go
+++ b/io/httpserver/server_test.go
@@ -19,27 +19,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// rig is a server, and what its handler has seen.
-type rig struct {
+// testServer is a server that counts the requests its handler has seen.
+type testServer struct {
 	*Server
 	handled atomic.Int64
-	// hold keeps the handler from answering until it is closed.
+	// hold blocks the handler until it is closed.
 	hold chan struct{}
-	// onRead is called once, when a read has returned bytes that net/http has not seen yet: there a goroutine may stand
-	// still for as long as its VM does.
+	// onRead is called once, when a read has returned bytes that net/http has not processed yet. At this point a
+	// goroutine can be delayed for as long as its VM gets no CPU time.
 	onRead atomic.Pointer[func()]
 }
 
-func (s *rig) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.ReadAll(r.Body)
 	s.handled.Add(1)
 	<-s.hold
 	w.WriteHeader(http.StatusOK)
 }
 
-func newRig(t *testing.T, o Options) (s *rig) {
+func newTestServer(t *testing.T, o Options) (s *testServer) {
 	t.Helper()
-	s = &rig{hold: make(chan struct{})}
+	s = &testServer{hold: make(chan struct{})}
 	close(s.hold)
 	var err error
 	s.Server, err = New("127.0.0.1:0", s, o)
@@ -48,15 +48,15 @@
 	return s
 }
 
-// startHooked serves without the look for idle connections, and with the hook.
-func (s *rig) startHooked() { go s.serve(hooked{s.conns, s}) }
+// serveHooked serves without the sweep for idle connections, and with the hook onRead.
+func (s *testServer) serveHooked() { go s.serve(hookedListener{s.conns, s}) }
 
-type hooked struct {
+type hookedListener struct {
 	net.Listener
-	s *rig
+	s *testServer
 }
 
-func (l hooked) Accept() (net.Conn, error) {
+func (l hookedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -66,10 +66,10 @@
 
 type hookedConn struct {
 	net.Conn
-	s *rig
+	s *testServer
 }
 
-// NetConn is the connection below, as tls.Conn has it.
+// NetConn returns the underlying connection, like the method of tls.Conn.
 func (c *hookedConn) NetConn() net.Conn { return c.Conn }
 
 func (c *hookedConn) Read(p []byte) (n int, err error) {
@@ -81,15 +81,15 @@
 	return n, err
 }
 
-const request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
+const testRequest = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
 
-// client is one connection.
+// client is one client connection.
 type client struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (s *rig) dial(t *testing.T) (c *client) {
+func (s *testServer) dial(t *testing.T) (c *client) {
 	t.Helper()
 	raw, err := net.Dial("tcp", s.Address())
 	assert.NilError(t, err)
@@ -99,26 +99,26 @@
 		assert.NilError(t, secured.Handshake())
 		raw = secured
 	}
-	// What the client has sent of its handshake must be read before a test's hook is set.
-	time.Sleep(settle)
+	// The server must have read the rest of the TLS handshake before a test sets its hook.
+	time.Sleep(settleTime)
 	return &client{raw, bufio.NewReader(raw)}
 }
 
-// settle is for how long tests let the server read what was sent.
-const settle = 50 * time.Millisecond
+// settleTime is how long tests wait for the server to read what was sent.
+const settleTime = 50 * time.Millisecond
 
-// keep lets a first request be served.
-func (c *client) keep(t *testing.T) {
+// roundTrip sends a first request on the connection and reads the response.
+func (c *client) roundTrip(t *testing.T) {
 	t.Helper()
-	_, _ = io.WriteString(c, request)
-	status, closing, err := c.answer()
+	_, _ = io.WriteString(c, testRequest)
+	status, closing, err := c.readResponse()
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Assert(t, !closing)
 }
 
-// answer is what the client gets within a few seconds: the status of a whole answer, or an error.
-func (c *client) answer() (status int, closing bool, err error) {
+// readResponse returns the status of a complete response, or an error if none arrives within 5 s.
+func (c *client) readResponse() (status int, closing bool, err error) {
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -128,24 +128,24 @@
 	return resp.StatusCode, resp.Close, err
 }
 
-// stop stops the server, and tells how long that took.
-func (s *rig) stop(t *testing.T, within time.Duration) (stopped chan time.Duration) {
+// stop stops the server in the background and sends how long that took.
+func (s *testServer) stop(t *testing.T, within time.Duration) (stopped chan time.Duration) {
 	stopped = make(chan time.Duration, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		err := s.Stop(ctx)
 		if err != nil {
 			t.Errorf("stop: %v", err)
 		}
-		stopped <- time.Since(began)
+		stopped <- time.Since(start)
 	}()
 	return stopped
 }
 
-// certificate is one for tests.
-func certificate(t *testing.T) *tls.Config {
+// selfSigned returns a TLS configuration with a self-signed certificate.
+func selfSigned(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -155,20 +155,20 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}, MinVersion: tls.VersionTLS12}
 }
 
-// eachWay runs a test on plain and on encrypted connections, new ones and such that were kept after an answer.
-func eachWay(t *testing.T, run func(t *testing.T, s *rig, c *client)) {
+// forEachConnection runs a test on plain and TLS connections, both new ones and ones kept alive after a response.
+func forEachConnection(t *testing.T, run func(t *testing.T, s *testServer, c *client)) {
 	for _, encrypted := range []string{"plain", "TLS"} {
 		for _, age := range []string{"new", "kept"} {
 			t.Run(encrypted+" "+age, func(t *testing.T) {
 				o := Options{HeaderTimeout: 10 * time.Second}
 				if encrypted == "TLS" {
-					o.TLS = certificate(t)
+					o.TLS = selfSigned(t)
 				}
-				s := newRig(t, o)
-				s.startHooked()
+				s := newTestServer(t, o)
+				s.serveHooked()
 				c := s.dial(t)
 				if age == "kept" {
-					c.keep(t)
+					c.roundTrip(t)
 				}
 				run(t, s, c)
 			})
@@ -176,11 +176,12 @@
 	}
 }
 
-// A server stops as planned. A client's request has been read from the kernel, whole, and its goroutine has not run on: the
-// VM's core is taken away for a moment. net/http's Shutdown drops it, on a new connection as on a kept one, and the client
-// gets a bare close, with no log line and no metric.
+// Guards against a planned stop that drops a request: the request has been read completely from the socket, but its
+// goroutine has not continued because the VM gets no CPU time for a moment. Shutdown of net/http drops such a
+// request, on new and on keep-alive connections, and the client sees only a closed connection, with no log line and
+// no metric.
 func TestStopServesWhatItHasRead(t *testing.T) {
-	eachWay(t, func(t *testing.T, s *rig, c *client) {
+	forEachConnection(t, func(t *testing.T, s *testServer, c *client) {
 		before := s.handled.Load()
 		stopped := make(chan chan time.Duration, 1)
 		const standstill = 1500 * time.Millisecond
@@ -189,90 +190,93 @@
 			time.Sleep(standstill)
 		}
 		s.onRead.Store(&hook)
-		_, _ = io.WriteString(c, request)
-		status, closing, err := c.answer()
+		_, _ = io.WriteString(c, testRequest)
+		status, closing, err := c.readResponse()
 		assert.NilError(t, err)
 		assert.Equal(t, status, http.StatusOK)
-		assert.Assert(t, closing, "the client is not asked to leave")
+		assert.Assert(t, closing, "the response does not ask the client to close the connection")
 		assert.Equal(t, s.handled.Load()-before, int64(1))
 		assert.Assert(t, <-<-stopped < standstill+time.Second)
 	})
 }
 
-// A client is sending a request when the server stops: half of its header has come. Shutdown ended its connection as idle.
+// Guards against closing a connection on which half of a request's header has arrived when the server stops. Shutdown
+// closed it as idle.
 func TestStopWaitsForARequestThatIsBeingRead(t *testing.T) {
-	eachWay(t, func(t *testing.T, s *rig, c *client) {
+	forEachConnection(t, func(t *testing.T, s *testServer, c *client) {
 		const half = 30
-		_, _ = io.WriteString(c, request[:half])
-		time.Sleep(settle)
+		_, _ = io.WriteString(c, testRequest[:half])
+		time.Sleep(settleTime)
 		stopped := s.stop(t, 5*time.Second)
-		time.Sleep(settle)
-		_, _ = io.WriteString(c, request[half:])
-		status, _, err := c.answer()
+		time.Sleep(settleTime)
+		_, _ = io.WriteString(c, testRequest[half:])
+		status, _, err := c.readResponse()
 		assert.NilError(t, err)
 		assert.Equal(t, status, http.StatusOK)
 		assert.Assert(t, <-stopped < time.Second)
 	})
 }
 
-// Nobody has asked for anything: a kept connection ends at once, and a new one, also one that has only shaken hands, when its
-// client has had the time to ask. A planned stop must not wait for its end.
+// A planned stop must not wait for connections without a request: a keep-alive connection is closed at once, and a
+// new one, even if it has only completed its TLS handshake, when its client has had time to send a request.
 func TestStopDoesNotWaitForConnectionsWithoutARequest(t *testing.T) {
-	eachWay(t, func(t *testing.T, s *rig, c *client) {
+	forEachConnection(t, func(t *testing.T, s *testServer, c *client) {
 		const enough = 2 * time.Second
 		assert.Assert(t, <-s.stop(t, 10*time.Second) < enough)
-		_, _, err := c.answer()
+		_, _, err := c.readResponse()
 		assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	})
 }
 
-// The handler does not answer within the time of the stop. The client is cut, and the server says so.
-func TestStopCutsInTheEnd(t *testing.T) {
-	s := newRig(t, Options{})
+// If the handler does not respond before the context of Stop ends, the connection is closed and Stop returns the
+// error.
+func TestStopClosesConnectionsWhenContextEnds(t *testing.T) {
+	s := newTestServer(t, Options{})
 	s.hold = make(chan struct{})
 	defer close(s.hold)
-	s.startHooked()
+	s.serveHooked()
 	c := s.dial(t)
-	_, _ = io.WriteString(c, request)
-	time.Sleep(settle)
+	_, _ = io.WriteString(c, testRequest)
+	time.Sleep(settleTime)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	assert.ErrorIs(t, s.Stop(ctx), context.DeadlineExceeded)
-	_, _, err := c.answer()
+	_, _, err := c.readResponse()
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// A client does not end its header when a server is stopped whose context is meant for another. It is cut by the server's own
-// bound, which is no failure of the stop.
-func TestStopEndsWithinItsOwnBound(t *testing.T) {
-	s := newRig(t, Options{StopWithin: 200 * time.Millisecond})
-	s.startHooked()
+// A client that does not finish its header is disconnected when StopWithin has passed, although the context allows
+// more time. That is not an error of Stop.
+func TestStopTimeoutIsNotAnError(t *testing.T) {
+	s := newTestServer(t, Options{StopWithin: 200 * time.Millisecond})
+	s.serveHooked()
 	c := s.dial(t)
-	_, _ = io.WriteString(c, request[:30])
-	time.Sleep(settle)
+	_, _ = io.WriteString(c, testRequest[:30])
+	time.Sleep(settleTime)
 	assert.Assert(t, <-s.stop(t, 10*time.Second) < time.Second)
-	_, _, err := c.answer()
+	_, _, err := c.readResponse()
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// A client does not end its header, or shakes hands and is silent. Its connection ends soon after the time for a header.
+// A client that does not finish its header, or is silent after the TLS handshake, is disconnected soon after the
+// header timeout.
 func TestLateHeaderEndsItsConnection(t *testing.T) {
 	const limit = 200 * time.Millisecond
-	for name, text := range map[string]string{"plain": "POST / HTTP/1.1\r\n", "TLS": ""} {
+	for name, partial := range map[string]string{"plain": "POST / HTTP/1.1\r\n", "TLS": ""} {
 		t.Run(name, func(t *testing.T) {
 			o := Options{HeaderTimeout: limit}
 			if name == "TLS" {
-				o.TLS = certificate(t)
+				o.TLS = selfSigned(t)
 			}
-			s := newRig(t, o)
+			s := newTestServer(t, o)
 			assert.NilError(t, s.Start(t.Context()))
-			began := time.Now()
+			start := time.Now()
 			c := s.dial(t)
-			_, _ = io.WriteString(c, text)
-			_, _, err := c.answer()
+			_, _ = io.WriteString(c, partial)
+			_, _, err := c.readResponse()
 			assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
-			took := time.Since(began)
-			assert.Assert(t, took > limit && took < 5*limit, "%v", took)
+			elapsed := time.Since(start)
+			assert.Assert(t, elapsed > limit && elapsed < 5*limit, "%v", elapsed)
 			assert.NilError(t, s.Stop(t.Context()))
 		})
 	}
