--- a/io/entry/attempt.go
+++ b/io/entry/attempt.go
@@ -16,58 +16,59 @@
 	"savoryfall/io/http1"
 )
 
-// attempt is one try at one endpoint.
+// attempt is one attempt to have the request served by one endpoint.
 type attempt struct {
 	*dispatch.Attempt
-	answer *http1.Answer
-	reply  ask.Reply
-	// ctx ends with the request, or when abandon is called, from any goroutine.
-	ctx     context.Context
-	abandon context.CancelFunc
+	response *http1.Answer
+	reply    ask.Reply
+	// ctx is done when the request's context is done or cancel is called. cancel may be called from any goroutine.
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// heard notes the first bytes of the answer, with the load that its header tells of.
-func (a *attempt) heard() {
+// firstBytesReceived records the first bytes of the response and the load reported in its header.
+func (a *attempt) firstBytesReceived() {
 	a.Answered(dispatch.Load{Running: a.reply.Running, Waiting: a.reply.Waiting, Known: a.reply.HasLoad}, time.Now())
 }
 
-// spareTime is how much longer than it was told an endpoint may take, so that its own word at the deadline arrives.
-const spareTime = 40 * time.Millisecond
+// responseSlack is added to the deadline that the endpoint is given, so that its own response at the deadline still
+// arrives.
+const responseSlack = 40 * time.Millisecond
 
-// choose picks the next endpoint. The problem says why there is none.
-func (x *exchange) choose() (a *attempt, p *ask.Problem) {
-	d, why := x.front.Dispatcher.Choose(dispatch.Query{
+// chooseEndpoint selects the endpoint for the next attempt. If there is none, the problem gives the reason.
+func (x *exchange) chooseEndpoint() (a *attempt, p *ask.Problem) {
+	d, reason := x.front.Dispatcher.Choose(dispatch.Query{
 		Service: x.service, Prompt: x.ask.Prompt, Rank: x.rank(), Account: x.accountName(), Tried: x.tried,
 	}, time.Now())
 	switch {
 	case d != nil:
-		ctx, abandon := context.WithCancel(x.ctx)
-		return &attempt{Attempt: d, ctx: ctx, abandon: abandon}, nil
-	case why == dispatch.ReasonFull:
-		return nil, ask.NotRun(ask.Full, x.backFull())
-	case why == dispatch.ReasonReserved:
-		return nil, ask.NotRun(ask.Reserved, x.backFull())
+		ctx, cancel := context.WithCancel(x.ctx)
+		return &attempt{Attempt: d, ctx: ctx, cancel: cancel}, nil
+	case reason == dispatch.ReasonFull:
+		return nil, ask.NotRun(ask.Full, x.retryAfterFull())
+	case reason == dispatch.ReasonReserved:
+		return nil, ask.NotRun(ask.Reserved, x.retryAfterFull())
 	}
-	return nil, ask.NotRun(ask.NoEndpoint, backLater)
+	return nil, ask.NotRun(ask.NoEndpoint, retryLater)
 }
 
-// backFull is when to come back to a service that is full.
-func (x *exchange) backFull() time.Duration {
+// retryAfterFull returns when the client should retry a request to a service that is at capacity.
+func (x *exchange) retryAfterFull() time.Duration {
 	now := time.Now()
 	full := x.front.Dispatcher.FullFor(x.service, x.rank(), now)
 	return comeback.After(full, x.route.Goal, x.deadline.Sub(now), rand.Float64())
 }
 
-// send makes the attempt and waits for the header of its answer until the given time.
+// send sends the request and waits for the header of the response until the given time.
 func (x *exchange) send(a *attempt, until time.Time, lastEvent string) (err error) {
 	e := a.Endpoint()
 	ctx, span := x.front.Tracer.Start(a.ctx, "attempt", trace.WithAttributes(
 		attribute.String("request", x.ask.ID), attribute.String("endpoint", e.ID), attribute.String("service", e.Service),
 	))
 	defer span.End()
-	h := x.front.Endpoints.Encode(forwarded(x.r.Header), x.sending(a, lastEvent))
+	h := x.front.Endpoints.Encode(forwardedHeader(x.r.Header), x.endpointRequest(a, lastEvent))
 	x.tried = append(x.tried, e.ID)
-	a.answer, err = x.front.Pool.Do(ctx, http1.Request{
+	a.response, err = x.front.Pool.Do(ctx, http1.Request{
 		Address: e.Address, Method: x.ask.Method, Target: x.ask.Target, Host: x.ask.Host, Header: h,
 		Body: x.body, HasBody: x.r.ContentLength != 0 || len(x.body) > 0, Deadline: until,
 		Ours: func(h http.Header) bool { return x.front.Endpoints.Answers(h, x.ask.ID) },
@@ -75,11 +76,11 @@
 	if err != nil {
 		return err
 	}
-	a.reply = x.front.Endpoints.Decode(a.answer.Status, a.answer.Header)
+	a.reply = x.front.Endpoints.Decode(a.response.Status, a.response.Header)
 	return nil
 }
 
-func (x *exchange) sending(a *attempt, lastEvent string) (s ask.Sending) {
+func (x *exchange) endpointRequest(a *attempt, lastEvent string) (s ask.Sending) {
 	s = ask.Sending{
 		ID: x.ask.ID, Endpoint: a.Endpoint().ID, Left: time.Until(x.deadline), LastEvent: lastEvent, FetchFrom: a.Donor(),
 		Account: x.accountName(),
@@ -90,7 +91,7 @@
 	return s
 }
 
-// accountName is empty on public routes.
+// accountName returns the name of the client account. It is empty on public routes.
 func (x *exchange) accountName() string {
 	if x.account == nil {
 		return ""
@@ -98,21 +99,21 @@
 	return x.account.Name
 }
 
-// rank is where the request stands among those to its service, 0 for the most urgent.
+// rank returns the priority of the request among all requests to its service. 0 is the most urgent.
 func (x *exchange) rank() int { return x.table.Rank(x.service, x.route, x.account) }
 
-// urgency is the rank as engines take it.
+// urgency is the rank limited to the range that engines accept.
 func (x *exchange) urgency() int { return min(x.rank(), leastUrgent) }
 
-// leastUrgent is the highest number that engines take.
+// leastUrgent is the highest urgency value that engines accept.
 const leastUrgent = 9
 
-// end ends the attempt and tells the dispatcher how it went.
-func (x *exchange) end(a *attempt, v dispatch.Verdict) {
-	if a.answer != nil {
-		a.answer.Close()
+// finishAttempt closes the response and reports the result of the attempt to the dispatcher.
+func (x *exchange) finishAttempt(a *attempt, v dispatch.Verdict) {
+	if a.response != nil {
+		a.response.Close()
 	}
-	a.abandon()
+	a.cancel()
 	if x.ctx.Err() != nil {
 		v = dispatch.Abandoned
 	}
@@ -122,8 +123,9 @@
 	}
 }
 
-// failed is what an attempt without an answer says of the endpoint, and whether the request may have run.
-func failed(err error) (v dispatch.Verdict, ran bool) {
+// classifyError returns the verdict on the endpoint for an attempt without a response, and whether the request may have
+// run.
+func classifyError(err error) (v dispatch.Verdict, ran bool) {
 	var f *http1.Failure
 	switch {
 	case !errors.As(err, &f):
@@ -136,18 +138,19 @@
 	return dispatch.Broken, true
 }
 
-// tryEach makes attempts, each at another endpoint, until one is done or none may follow; the problem is the last one's.
-func (x *exchange) tryEach(try func(a *attempt) (done bool, p *ask.Problem)) (done bool, p *ask.Problem) {
-	p = ask.NotRun(ask.NoEndpoint, backLater)
-	for range mostChoices {
-		if !x.maySend(time.Now()) {
+// tryEndpoints makes attempts, each at a different endpoint, until one is done or no further attempt is allowed. The
+// problem is that of the last attempt.
+func (x *exchange) tryEndpoints(try func(a *attempt) (done bool, p *ask.Problem)) (done bool, p *ask.Problem) {
+	p = ask.NotRun(ask.NoEndpoint, retryLater)
+	for range maxChoices {
+		if !x.allowAttempt(time.Now()) {
 			return false, p
 		}
-		a, none := x.choose()
-		if none != nil && x.sends == 0 {
-			return false, none
+		a, notChosen := x.chooseEndpoint()
+		if notChosen != nil && x.sends == 0 {
+			return false, notChosen
 		}
-		if none != nil {
+		if notChosen != nil {
 			return false, p
 		}
 		done, p = try(a)
@@ -161,10 +164,10 @@
 	return false, p
 }
 
-// maySend tells whether the request may go to another endpoint: within its route's attempts, its time, and this
-// router's part of the retries.
-func (x *exchange) maySend(now time.Time) bool {
-	if x.sends >= x.route.MaxAttempts || x.deadline.Sub(now) < worthTrying {
+// allowAttempt reports whether another attempt is allowed by the route's maximum number of attempts, the deadline and
+// this router's share of the retry budget. A retry that is allowed is counted.
+func (x *exchange) allowAttempt(now time.Time) bool {
+	if x.sends >= x.route.MaxAttempts || x.deadline.Sub(now) < minAttemptTime {
 		return false
 	}
 	if x.sends == 0 {
@@ -173,8 +176,8 @@
 	return x.front.Retries.Allow(x.service, now)
 }
 
-// worthTrying is the least time left for another attempt: less than the time of a plain call.
-const worthTrying = 20 * time.Millisecond
+// minAttemptTime is the minimum time left for another attempt. A plain call takes longer than this.
+const minAttemptTime = 20 * time.Millisecond
 
-// mostChoices bounds how many endpoints are chosen for one request when connections to them cannot be made.
-const mostChoices = 4
+// maxChoices limits how many endpoints are chosen for one request when connections to them fail.
+const maxChoices = 4
--- a/io/entry/doc.go
+++ b/io/entry/doc.go
@@ -1,3 +1,4 @@
-// Package entry serves clients on an entry VM: each request is matched to its route and account, sent to an endpoint,
-// and answered with that endpoint's whole answer or with a refusal that says whether it ran.
+// Package entry is the reverse proxy on an entry VM. It matches each client request to a route and a client account,
+// forwards it to an endpoint, and returns either the endpoint's complete response or a refusal that says whether the
+// request ran.
 package entry
--- a/io/entry/exchange.go
+++ b/io/entry/exchange.go
@@ -14,7 +14,7 @@
 	"savoryfall/io/clientconn"
 )
 
-// exchange is one request on its way.
+// exchange is the processing of one request.
 type exchange struct {
 	front    *Front
 	w        http.ResponseWriter
@@ -34,25 +34,26 @@
 	sends    int
 }
 
-// serve takes the request through its steps: what is asked, may it be served, its body, where and how it is answered.
+// serve processes the request: it decodes it, checks whether it may be served, reads the body, and forwards it to
+// endpoints.
 func (x *exchange) serve() {
 	ctx, span := x.front.Tracer.Start(x.r.Context(), "request")
 	defer span.End()
 	x.ctx = ctx
 	p := x.decode()
 	if p == nil {
-		x.front.awaitStart(ctx)
+		x.front.awaitConfiguration(ctx)
 		p = x.admit()
 	}
 	if p == nil {
 		p = x.readBody()
 	}
 	if p == nil {
-		// The body may have taken a while, in which the key may have been withdrawn.
+		// The API key may have been withdrawn while the body was read.
 		p = x.admit()
 	}
 	if p == nil {
-		p = x.answer()
+		p = x.forward()
 	}
 	if p != nil {
 		x.refuse(p)
@@ -69,21 +70,22 @@
 }
 
 const (
-	// backSoon is when to come back after a refusal that another router, or the next moment, may not repeat.
-	backSoon = 50 * time.Millisecond
-	// backLater is when to come back while this router waits for the store: about the time of its next tries.
-	backLater = 500 * time.Millisecond
+	// retrySoon is when to retry after a refusal that another router, or the same one a moment later, may not repeat.
+	retrySoon = 50 * time.Millisecond
+	// retryLater is when to retry while this router waits for the store: about the time until its next attempts to read
+	// it.
+	retryLater = 500 * time.Millisecond
 )
 
-// admit finds the route and the client account by the configuration in force, and refuses what it does not allow.
+// admit looks up the route and the client account in the active configuration, and refuses what that does not allow.
 func (x *exchange) admit() *ask.Problem {
 	f := x.front
-	if f.phase.Load() == closing {
-		return ask.NotRun(ask.Stopping, backSoon)
+	if f.phase.Load() == phaseRefusing {
+		return ask.NotRun(ask.Stopping, retrySoon)
 	}
 	x.table = f.Configuration.Current()
 	if x.table == nil {
-		return ask.NotRun(ask.NoConfiguration, backLater)
+		return ask.NotRun(ask.NoConfiguration, retryLater)
 	}
 	if limit := x.table.Limits().MaxHeader; limit > 0 && headerSize(x.r) > limit {
 		return ask.NotRun(ask.HeaderTooLarge, 0)
@@ -91,52 +93,53 @@
 	fresh := f.Lease.Valid(f.Clock())
 	x.route = x.table.Route(x.ask.Host, x.ask.Path)
 	if x.route == nil {
-		return staleOr(fresh, ask.NotRun(ask.UnknownRoute, 0))
+		return staleKeysOr(fresh, ask.NotRun(ask.UnknownRoute, 0))
 	}
 	if x.table.Keyed() && !x.route.Public {
 		x.account = x.table.Account(x.ask.Key)
 		if !fresh {
-			return ask.NotRun(ask.StaleKeys, backLater)
+			return ask.NotRun(ask.StaleKeys, retryLater)
 		}
 		if x.account == nil {
 			return ask.NotRun(ask.UnknownKey, 0)
 		}
 	}
-	x.deadline = x.began.Add(x.patience())
+	x.deadline = x.began.Add(x.timeout())
 	return nil
 }
 
-// staleOr keeps a router that has not heard of the newest configuration from denying what that one may allow.
-func staleOr(fresh bool, p *ask.Problem) *ask.Problem {
+// staleKeysOr keeps a router whose configuration may be out of date from denying what the newest one may allow.
+func staleKeysOr(fresh bool, p *ask.Problem) *ask.Problem {
 	if !fresh {
-		return ask.NotRun(ask.StaleKeys, backLater)
+		return ask.NotRun(ask.StaleKeys, retryLater)
 	}
 	return p
 }
 
-// patience is how long the request may take: as long as the client waits, and no longer than its route allows.
-func (x *exchange) patience() time.Duration {
+// timeout returns how long the request may take: the client's timeout, limited to that of the route.
+func (x *exchange) timeout() time.Duration {
 	d := x.ask.Patience
 	if x.route.Timeout > 0 && (d <= 0 || d > x.route.Timeout) {
 		d = x.route.Timeout
 	}
 	if d <= 0 {
-		d = usualPatience
+		d = defaultTimeout
 	}
 	return d
 }
 
-// usualPatience bounds requests for which neither client nor route says how long they may take.
-const usualPatience = 30 * time.Second
+// defaultTimeout applies if neither the client nor the route sets a timeout.
+const defaultTimeout = 30 * time.Second
 
-// usualBody bounds bodies in bytes until a configuration says so.
-const usualBody = 4 << 20
+// defaultMaxBodyBytes applies until a configuration sets a limit.
+const defaultMaxBodyBytes = 4 << 20
 
-// readBody reads the whole body, so that an attempt can be repeated and the client's leaving is noticed.
+// readBody reads the whole body, so that the request can be sent to several endpoints and net/http notices when the
+// client disconnects.
 func (x *exchange) readBody() *ask.Problem {
 	limit := x.table.Limits().MaxBody
 	if limit <= 0 {
-		limit = usualBody
+		limit = defaultMaxBodyBytes
 	}
 	if x.r.ContentLength > limit {
 		return ask.NotRun(ask.BodyTooLarge, 0)
@@ -169,20 +172,20 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// answer sends the request to endpoints until one has answered it.
-func (x *exchange) answer() *ask.Problem {
+// forward sends the request to endpoints until one of them has answered it.
+func (x *exchange) forward() *ask.Problem {
 	_ = http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeSlack))
-	x.service = x.route.Target(draw(x.ask.ID))
+	x.service = x.route.Target(routeFraction(x.ask.ID))
 	x.front.Retries.First(x.service, time.Now())
 	if x.route.Kind.Streaming() {
-		return x.stream()
+		return x.forwardStream()
 	}
-	return x.plain()
+	return x.forwardPlain()
 }
 
-// writeSlack is how much longer than the deadline a client may take to read an answer: a ready answer is delivered
-// late rather than not at all, but a client that has stopped reading must not hold the request for ever.
+// writeSlack is how long after the deadline a client may take to read the response. A response that is ready is
+// delivered late rather than not at all, but a client that has stopped reading must not block the request forever.
 const writeSlack = 5 * time.Second
 
-// draw spreads requests over the targets of a route by their id.
-func draw(id string) float64 { return float64(xxhash.Sum64String(id)>>11) / (1 << 53) }
+// routeFraction maps a request id to a number in [0, 1), by which requests are distributed over the targets of a route.
+func routeFraction(id string) float64 { return float64(xxhash.Sum64String(id)>>11) / (1 << 53) }
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -19,25 +19,25 @@
 	"savoryfall/io/http1"
 )
 
-// Clients is the protocol of the clients.
+// Clients implements the protocol of the clients.
 type Clients interface {
 	Decode(r *http.Request) (a ask.Ask, err error)
 	Refuse(p *ask.Problem, h http.Header) (status int)
 }
 
-// Endpoints is the protocol of the endpoints.
+// Endpoints implements the protocol of the endpoints.
 type Endpoints interface {
 	Encode(client http.Header, s ask.Sending) http.Header
 	Answers(h http.Header, id string) bool
 	Decode(status int, h http.Header) ask.Reply
 }
 
-// Configuration gives what is in force, nil before the first.
+// Configuration provides the active configuration, nil before the first one.
 type Configuration interface {
 	Current() *routetable.Table
 }
 
-// Parts are the services that the front works with.
+// Parts are the dependencies of a Front.
 type Parts struct {
 	Clients       Clients
 	Endpoints     Endpoints
@@ -49,11 +49,11 @@
 	Tracer        trace.Tracer
 	Figures       *Figures
 	Logger        log.Logger
-	// Clock is the time since boot, suspension included.
+	// Clock returns the time since boot, including time in which the VM was suspended.
 	Clock func() time.Duration
 }
 
-// Front is the handler of client requests.
+// Front is the HTTP handler for client requests.
 type Front struct {
 	Parts
 	phase atomic.Int32
@@ -61,53 +61,55 @@
 	began time.Time
 }
 
-// The phases of a front's life. While leaving, it still takes requests, because the balancer and open connections
-// bring them for some time; while closing, it refuses them, so that what it has begun can end in time.
+// The phases of a Front. While draining, it still serves requests, because the load balancer and open connections
+// deliver them for some time. Then it refuses new requests, so that those already started can finish in time.
 const (
-	serving int32 = iota
-	leaving
-	closing
+	phaseServing int32 = iota
+	phaseDraining
+	phaseRefusing
 )
 
-// New makes a front.
+// New creates a Front.
 func New(p Parts) *Front { return &Front{Parts: p, began: time.Now()} }
 
 const (
-	// startTime is for how long a process counts as starting: it is told the configuration within some hundred milliseconds,
-	// or cannot be.
-	startTime = time.Second
-	// startWait is how long a request waits for that at most, startLook how often it looks.
-	startWait = 250 * time.Millisecond
-	startLook = 5 * time.Millisecond
+	// startupPeriod is how long after its start a process may still be without a configuration: it either receives one
+	// within a few hundred milliseconds or cannot receive one.
+	startupPeriod = time.Second
+	// maxStartupWait limits how long a request waits for the configuration, and startupPollPeriod is how often it
+	// checks.
+	maxStartupWait    = 250 * time.Millisecond
+	startupPollPeriod = 5 * time.Millisecond
 )
 
-// awaitStart lets a request wait for the configuration of a process that has just started. All routers that start again
-// together are asked before they know one; told to come back, clients came back late, or for their last try to another router
-// that knew none either.
-func (f *Front) awaitStart(ctx context.Context) {
-	until := time.Now().Add(startWait)
-	for f.Configuration.Current() == nil && time.Since(f.began) < startTime && time.Now().Before(until) && ctx.Err() == nil {
-		background.Pause(ctx, startLook, nil)
+// awaitConfiguration delays a request while a process that has just started has no configuration. Routers that restart
+// together receive requests before any of them has one. Clients that were told to retry were then served late, or used
+// their last attempt on another router that had no configuration either.
+func (f *Front) awaitConfiguration(ctx context.Context) {
+	until := time.Now().Add(maxStartupWait)
+	for f.Configuration.Current() == nil && time.Since(f.began) < startupPeriod && time.Now().Before(until) && ctx.Err() == nil {
+		background.Pause(ctx, startupPollPeriod, nil)
 	}
 }
 
-// Leave makes the front unready and asks clients to go elsewhere after each answer.
-func (f *Front) Leave() { f.phase.CompareAndSwap(serving, leaving) }
+// Leave makes the front report that it is not ready, and asks clients to close their connections after the next
+// response.
+func (f *Front) Leave() { f.phase.CompareAndSwap(phaseServing, phaseDraining) }
 
 // Close refuses further requests.
-func (f *Front) Close() { f.phase.Store(closing) }
+func (f *Front) Close() { f.phase.Store(phaseRefusing) }
 
-// Open is how many requests are being served.
+// Open returns the number of requests in progress.
 func (f *Front) Open() int64 { return f.open.Load() }
 
-// readyAge is the age of the configuration's last read from which on the front asks for no new clients: the balancer
-// takes about two seconds to notice, and by then the right to serve by it is nearly over.
-const readyAge = 3200 * time.Millisecond
+// maxReadyAge is the age of the last read of the configuration from which on the front reports that it is not ready.
+// The load balancer takes about two seconds to react, and by then the configuration may hardly be used any longer.
+const maxReadyAge = 3200 * time.Millisecond
 
-// Ready tells whether new clients are welcome.
+// Ready reports whether the load balancer should send new clients.
 func (f *Front) Ready() bool {
 	age, known := f.Lease.Age(f.Clock())
-	return f.phase.Load() == serving && known && age < readyAge && f.Configuration.Current() != nil
+	return f.phase.Load() == phaseServing && known && age < maxReadyAge && f.Configuration.Current() != nil
 }
 
 // ServeHTTP serves one request.
--- a/io/entry/header.go
+++ b/io/entry/header.go
@@ -5,20 +5,21 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop are the header fields that are not passed on: those that apply to a single connection, and Content-Length and
+// Expect, because the router has read the body and frames it anew.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwarded is the client's header without what concerns its own connection.
-func forwarded(h http.Header) http.Header {
+// forwardedHeader returns the client's header without hop-by-hop fields.
+func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
-	dropNamed(out, h)
+	dropHopByHop(out, h)
 	return out
 }
 
-func dropNamed(out, h http.Header) {
+func dropHopByHop(out, h http.Header) {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			out.Del(strings.TrimSpace(name))
@@ -29,31 +30,31 @@
 	}
 }
 
-// copyAnswerHeader passes on the endpoint's header.
-func copyAnswerHeader(to, from http.Header) {
+// copyResponseHeader copies the endpoint's header without hop-by-hop fields.
+func copyResponseHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
 	}
-	dropNamed(to, from)
+	dropHopByHop(to, from)
 	if _, typed := from["Content-Type"]; !typed {
-		// nil keeps net/http from guessing one.
+		// nil keeps net/http from detecting a content type.
 		to["Content-Type"] = nil
 	}
 }
 
-// closing asks the client to leave this connection when the router stops, and when the request's context has ended though
-// the client can be answered: net/http has ended the whole connection's with it, and would take the client of each later
-// request for gone.
-func (x *exchange) closing(h http.Header) {
-	if x.front.phase.Load() != serving || x.ctx.Err() != nil {
+// setConnectionClose asks the client to close the connection when the router is stopping. It does the same when the
+// request's context is cancelled but the client can still be answered: net/http has cancelled the context of the whole
+// connection, so that the client of each later request would appear to have left.
+func (x *exchange) setConnectionClose(h http.Header) {
+	if x.front.phase.Load() != phaseServing || x.ctx.Err() != nil {
 		h.Set("Connection", "close")
 	}
 }
 
-// lineOverhead is the colon, the blank and the line end of a header line, in bytes.
+// lineOverhead is the size of the colon, the space and the line end of a header field, in bytes.
 const lineOverhead = 4
 
-// headerSize is about how many bytes the client sent before the body.
+// headerSize returns approximately how many bytes the client sent before the body.
 func headerSize(r *http.Request) (n int) {
 	n = len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
--- a/io/entry/figures.go
+++ b/io/entry/metrics.go
@@ -11,25 +11,25 @@
 	"savoryfall/core/routetable"
 )
 
-// Figures are the metrics of requests; their labels are kinds, reasons and endpoint services, which are few whatever the
-// number of accounts and routes.
+// Figures are the metrics of client requests. Their labels are kinds, reasons and endpoint services, so that the number
+// of series does not grow with the number of accounts and routes.
 type Figures struct {
 	set *metrics.Set
 }
 
-// NewFigures registers the metrics in the set.
+// NewFigures creates metrics that are registered in the set on first use.
 func NewFigures(set *metrics.Set) *Figures { return &Figures{set: set} }
 
-func (f *Figures) served(kind string, status int, took time.Duration) {
+func (f *Figures) recordServed(kind string, status int, took time.Duration) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,status="%d",reason="served"}`, kind, status)).Inc()
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_request_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
-func (f *Figures) refused(kind string, p *ask.Problem) {
+func (f *Figures) recordRefused(kind string, p *ask.Problem) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,outcome=%q,reason=%q}`, kind, p.Outcome, p.Reason)).Inc()
 }
 
-// attempt counts one at an endpoint of the service, and for how long it held its place there.
+// attempt counts an attempt at an endpoint of the service and records how long it occupied the endpoint.
 func (f *Figures) attempt(service string, v dispatch.Verdict, took time.Duration) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_attempts_total{service=%q,verdict=%q}`, service, v)).Inc()
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_attempt_seconds{service=%q}`, service)).Update(took.Seconds())
@@ -41,7 +41,7 @@
 
 func (x *exchange) firstEvent() { x.front.Figures.firstEvent(x.kind(), time.Since(x.began)) }
 
-// kind is the label of the route's kind.
+// kind returns the value of the label for the route's kind.
 func (x *exchange) kind() string {
 	if x.route == nil {
 		return "none"
--- a/io/entry/plain.go
+++ b/io/entry/plain.go
@@ -9,129 +9,129 @@
 	"savoryfall/core/dispatch"
 )
 
-// maxAnswer bounds a plain answer in bytes.
-const maxAnswer = 16 << 20
+// maxResponseBytes limits the body of a response that is not a stream.
+const maxResponseBytes = 16 << 20
 
-// whole is a plain answer that was read to its end.
-type whole struct {
+// plainResponse is a response whose body was read completely.
+type plainResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// plain answers a request whose answer is one body.
-func (x *exchange) plain() (p *ask.Problem) {
-	// failure is an endpoint's own, which is passed on when no other endpoint does better.
-	var failure *whole
-	done, p := x.tryEach(func(a *attempt) (done bool, p *ask.Problem) {
-		failure = nil
-		answer, p := x.try(a)
+// forwardPlain handles a request whose response is a single body.
+func (x *exchange) forwardPlain() (p *ask.Problem) {
+	// endpointFailure is an endpoint's own error response, which is returned if no other endpoint does better.
+	var endpointFailure *plainResponse
+	done, p := x.tryEndpoints(func(a *attempt) (done bool, p *ask.Problem) {
+		endpointFailure = nil
+		response, p := x.tryPlain(a)
 		if p != nil {
 			return false, p
 		}
-		if x.another(answer) {
-			failure = answer
+		if x.worthRetrying(response) {
+			endpointFailure = response
 			return false, ask.Unknown(ask.Broken)
 		}
-		x.deliver(answer)
+		x.writeResponse(response)
 		return true, nil
 	})
-	if !done && failure != nil {
-		x.deliver(failure)
+	if !done && endpointFailure != nil {
+		x.writeResponse(endpointFailure)
 		return nil
 	}
 	return p
 }
 
-// another tells whether an endpoint's own failure is worth another try elsewhere.
-func (x *exchange) another(answer *whole) bool {
-	return answer.status >= http.StatusInternalServerError && x.route.Kind.Repeatable()
+// worthRetrying reports whether an endpoint's own error response justifies an attempt at another endpoint.
+func (x *exchange) worthRetrying(response *plainResponse) bool {
+	return response.status >= http.StatusInternalServerError && x.route.Kind.Repeatable()
 }
 
-// try makes one attempt and reads its whole answer.
-func (x *exchange) try(a *attempt) (answer *whole, p *ask.Problem) {
-	err := x.send(a, x.until(), x.ask.LastEvent)
+// tryPlain makes one attempt and reads the complete response.
+func (x *exchange) tryPlain(a *attempt) (response *plainResponse, p *ask.Problem) {
+	err := x.send(a, x.attemptDeadline(), x.ask.LastEvent)
 	if err != nil {
-		v, ran := failed(err)
-		x.end(a, v)
+		v, ran := classifyError(err)
+		x.finishAttempt(a, v)
 		if !ran {
-			return nil, ask.NotRun(ask.Unreachable, backSoon)
+			return nil, ask.NotRun(ask.Unreachable, retrySoon)
 		}
 		x.sends++
-		return nil, x.lost(v)
+		return nil, x.unknownOutcome(v)
 	}
 	x.sends++
-	a.heard()
+	a.firstBytesReceived()
 	if a.reply.NotRun {
-		return nil, x.turnedAway(a)
+		return nil, x.refusedByEndpoint(a)
 	}
-	body, err := a.answer.ReadAll(maxAnswer)
+	body, err := a.response.ReadAll(maxResponseBytes)
 	if err != nil {
-		x.end(a, dispatch.Broken)
-		return nil, x.lost(dispatch.Broken)
+		x.finishAttempt(a, dispatch.Broken)
+		return nil, x.unknownOutcome(dispatch.Broken)
 	}
-	if !x.genuine(a) {
-		x.end(a, dispatch.Broken)
+	if !x.fromEndpoint(a) {
+		x.finishAttempt(a, dispatch.Broken)
 		return nil, ask.Unknown(ask.Broken)
 	}
 	v := dispatch.Served
-	if a.answer.Status >= http.StatusInternalServerError {
+	if a.response.Status >= http.StatusInternalServerError {
 		v = dispatch.Failed
 	}
-	answer = &whole{status: a.answer.Status, header: a.answer.Header, body: body}
-	x.end(a, v)
-	return answer, nil
+	response = &plainResponse{status: a.response.Status, header: a.response.Header, body: body}
+	x.finishAttempt(a, v)
+	return response, nil
 }
 
-// turnedAway ends an attempt that the endpoint refused to run.
-func (x *exchange) turnedAway(a *attempt) *ask.Problem {
+// refusedByEndpoint finishes an attempt that the endpoint refused to run.
+func (x *exchange) refusedByEndpoint(a *attempt) *ask.Problem {
 	if a.reply.Elsewhere {
-		// The address belongs to another instance now; the list will say so too.
+		// The address now belongs to another instance. The endpoint list will show that later.
 		x.front.Dispatcher.Gone(a.Endpoint().ID)
 	}
-	_, _ = a.answer.ReadAll(maxAnswer)
-	x.end(a, dispatch.Refused)
-	return ask.NotRun(ask.Refused, backSoon)
+	_, _ = a.response.ReadAll(maxResponseBytes)
+	x.finishAttempt(a, dispatch.Refused)
+	return ask.NotRun(ask.Refused, retrySoon)
 }
 
-// genuine tells whether the answer is the endpoint's own.
-func (x *exchange) genuine(a *attempt) bool {
+// fromEndpoint reports whether the response was made by the endpoint itself.
+func (x *exchange) fromEndpoint(a *attempt) bool {
 	if a.reply.Encoded {
 		return false
 	}
-	return a.reply.Signed || a.answer.Status >= http.StatusMultipleChoices
+	return a.reply.Signed || a.response.Status >= http.StatusMultipleChoices
 }
 
-func (x *exchange) lost(v dispatch.Verdict) *ask.Problem {
+func (x *exchange) unknownOutcome(v dispatch.Verdict) *ask.Problem {
 	if v == dispatch.Silent {
 		return ask.Unknown(ask.Late)
 	}
 	return ask.Unknown(ask.Broken)
 }
 
-// firstShare is the part of the time left that the first attempt at a repeatable request may take in silence, so that
-// a second one still has time.
-const firstShare = 3
+// firstAttemptDivisor limits the first attempt at a repeatable request to a third of the time left, so that there is
+// time for a second one.
+const firstAttemptDivisor = 3
 
-// until is when an attempt is given up.
-func (x *exchange) until() time.Time {
+// attemptDeadline returns when the next attempt is given up.
+func (x *exchange) attemptDeadline() time.Time {
 	if x.route.Kind.Repeatable() && x.sends+1 < x.route.MaxAttempts {
-		return time.Now().Add(time.Until(x.deadline) / firstShare)
+		return time.Now().Add(time.Until(x.deadline) / firstAttemptDivisor)
 	}
-	return x.deadline.Add(spareTime)
+	return x.deadline.Add(responseSlack)
 }
 
-// deliver writes the endpoint's answer as it is.
-func (x *exchange) deliver(answer *whole) {
+// writeResponse sends the endpoint's response to the client unchanged.
+func (x *exchange) writeResponse(response *plainResponse) {
 	h := x.w.Header()
-	copyAnswerHeader(h, answer.header)
-	if bodyAllowed(answer.status) && x.ask.Method != http.MethodHead {
-		h.Set("Content-Length", strconv.Itoa(len(answer.body)))
+	copyResponseHeader(h, response.header)
+	if bodyAllowed(response.status) && x.ask.Method != http.MethodHead {
+		h.Set("Content-Length", strconv.Itoa(len(response.body)))
 	}
-	x.closing(h)
-	x.w.WriteHeader(answer.status)
-	_, _ = x.w.Write(answer.body)
-	x.served(answer.status)
+	x.setConnectionClose(h)
+	x.w.WriteHeader(response.status)
+	_, _ = x.w.Write(response.body)
+	x.recordServed(response.status)
 }
 
 func bodyAllowed(status int) bool {
--- a/io/entry/refuse.go
+++ b/io/entry/refuse.go
@@ -12,34 +12,35 @@
 
 const notRun = outcome.NotRun
 
-// refuse answers with what went wrong. A client that has left is told nothing.
+// refuse answers the request with the problem, unless the client can no longer be reached.
 func (x *exchange) refuse(p *ask.Problem) {
-	if why := x.unreachable(); why != "" {
-		x.note(0, &ask.Problem{Reason: why, Outcome: p.Outcome})
+	if reason := x.clientGoneReason(); reason != "" {
+		x.recordRefusal(0, &ask.Problem{Reason: reason, Outcome: p.Outcome})
 		panic(http.ErrAbortHandler)
 	}
-	x.boundBody()
+	x.limitBodyDrain()
 	h := x.w.Header()
 	status := x.front.Clients.Refuse(p, h)
 	h.Set("Content-Length", "0")
-	x.closing(h)
+	x.setConnectionClose(h)
 	x.w.WriteHeader(status)
-	x.note(status, p)
+	x.recordRefusal(status, p)
 }
 
-// cut ends an answer that has begun so that it cannot be taken for whole: the connection closes before its end.
-func (x *exchange) cut(p *ask.Problem) {
-	if why := x.unreachable(); why != "" {
-		p = &ask.Problem{Reason: why, Outcome: p.Outcome}
+// abort ends a response that was partly sent. The connection is closed early, so that the client cannot take the
+// response for complete.
+func (x *exchange) abort(p *ask.Problem) {
+	if reason := x.clientGoneReason(); reason != "" {
+		p = &ask.Problem{Reason: reason, Outcome: p.Outcome}
 	}
-	x.note(0, p)
+	x.recordRefusal(0, p)
 	panic(http.ErrAbortHandler)
 }
 
-// unreachable is why the client cannot be answered any more, empty when it can. That the context has ended does not say
-// so: net/http ends it with any error of a read, also when this router's own deadline for a body has passed, and a client
-// that was slow must be told.
-func (x *exchange) unreachable() (why ask.Reason) {
+// clientGoneReason returns why the client can no longer be answered, or "" if it can. A cancelled context is not
+// enough: net/http cancels it on any read error, also after this router's own read deadline for the body, and a slow
+// client must be told.
+func (x *exchange) clientGoneReason() (reason ask.Reason) {
 	if x.ctx.Err() == nil {
 		return ""
 	}
@@ -55,20 +56,20 @@
 	return ""
 }
 
-// restOfBody is how long the rest of a body that nobody wants is waited for: longer than a process may stand still whose
-// core is shared, for the body may lie there unread.
-const restOfBody = 300 * time.Millisecond
+// bodyDrainTimeout is how long the rest of an unwanted body is waited for. It is longer than a process on a shared core
+// is usually paused, because the body may already have arrived and not have been read.
+const bodyDrainTimeout = 300 * time.Millisecond
 
-// boundBody bounds the wait for what is left of the body. net/http reads it before it sends an answer, so that the
-// connection can be kept; without a bound, a body that stalls would hold the answer back for ever.
-func (x *exchange) boundBody() {
+// limitBodyDrain limits the wait for the rest of the body. net/http reads it before it sends a response, to be able to
+// keep the connection. Without a limit, a body that stalls would delay the response forever.
+func (x *exchange) limitBodyDrain() {
 	if x.hasBody() && !x.bodyRead {
-		_ = http.NewResponseController(x.w).SetReadDeadline(time.Now().Add(restOfBody))
+		_ = http.NewResponseController(x.w).SetReadDeadline(time.Now().Add(bodyDrainTimeout))
 	}
 }
 
-func (x *exchange) served(status int) {
-	x.front.Figures.served(x.kind(), status, time.Since(x.began))
+func (x *exchange) recordServed(status int) {
+	x.front.Figures.recordServed(x.kind(), status, time.Since(x.began))
 	if x.sends > 1 {
 		_ = x.front.Logger.Log(field.Event, event.RequestServed, field.Request, x.ask.ID, field.Route, x.routeName(), field.Status, status,
 			field.Sends, x.sends, field.Endpoints, x.endpoints(), field.Version, x.version(), field.Ms, time.Since(x.began).Milliseconds())
@@ -79,9 +80,9 @@
 	}
 }
 
-// note logs and counts a request that was not served.
-func (x *exchange) note(status int, p *ask.Problem) {
-	x.front.Figures.refused(x.kind(), p)
+// recordRefusal logs and counts a request that was not served.
+func (x *exchange) recordRefusal(status int, p *ask.Problem) {
+	x.front.Figures.recordRefused(x.kind(), p)
 	age, _ := x.front.Lease.Age(x.front.Clock())
 	line := []any{
 		field.Event, event.RequestRefused, field.Request, x.ask.ID, field.Route, x.routeName(), field.Status, status,
@@ -90,7 +91,7 @@
 		field.Ms, time.Since(x.began).Milliseconds(),
 	}
 	if p.Reason == ask.Full || p.Reason == ask.Reserved {
-		line = append(line, x.fullness()...)
+		line = append(line, x.occupancyFields()...)
 	}
 	if x.conn != nil && x.conn.Ending() != "" {
 		line = append(line, x.conn.Fields()...)
@@ -98,8 +99,8 @@
 	_ = x.front.Logger.Log(line...)
 }
 
-// fullness is what a refusal for want of a place was decided by.
-func (x *exchange) fullness() []any {
+// occupancyFields are the log fields with the load that a refusal for lack of capacity was based on.
+func (x *exchange) occupancyFields() []any {
 	now := time.Now()
 	taken, places := x.front.Dispatcher.Occupancy(x.service, now)
 	return []any{
@@ -122,7 +123,7 @@
 	return x.route.Name
 }
 
-// endpoints are those that were tried, the last one last.
+// endpoints returns the ids of the endpoints that were tried, in order.
 func (x *exchange) endpoints() (list string) {
 	for i, id := range x.tried {
 		if i > 0 {
--- a/io/entry/server.go
+++ b/io/entry/server.go
@@ -14,7 +14,7 @@
 	"savoryfall/io/clientconn"
 )
 
-// Server listens for clients and ends their idle connections by the limits in force.
+// Server listens for clients and closes their idle connections according to the active configuration.
 type Server struct {
 	front   *Front
 	conns   *clientconn.Set
@@ -24,20 +24,20 @@
 }
 
 const (
-	// mostHeader bounds headers in bytes as long as no configuration does; the configuration's limit is checked
-	// besides.
-	mostHeader = 256 << 10
-	// headerTimeout and idleTimeout bound connections where the configuration does not.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 5 * time.Minute
-	// sweepEvery is how often idle connections are looked at.
-	sweepEvery = time.Second
+	// defaultMaxHeaderBytes limits headers if there is no configuration. The configured limit is checked in addition to
+	// it.
+	defaultMaxHeaderBytes = 256 << 10
+	// defaultHeaderTimeout and defaultIdleTimeout apply where the configuration sets no limit.
+	defaultHeaderTimeout = 10 * time.Second
+	defaultIdleTimeout   = 5 * time.Minute
+	// sweepPeriod is how often idle connections are checked.
+	sweepPeriod = time.Second
 )
 
-// clientKeepAlive finds clients that have vanished without a word.
+// clientKeepAlive detects clients that have disappeared without closing the connection.
 var clientKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-// NewServer takes the address at once.
+// NewServer creates a server and starts to listen on the address.
 func NewServer(address string, f *Front) (s *Server, err error) {
 	defer annotate.Error(&err, "listen for clients on %s", address)
 	listen := net.ListenConfig{KeepAliveConfig: clientKeepAlive}
@@ -48,25 +48,25 @@
 	return NewServerOn(l, f), nil
 }
 
-// NewServerOn serves the clients that come by the listener.
+// NewServerOn creates a server for the clients that the listener accepts.
 func NewServerOn(l net.Listener, f *Front) (s *Server) {
-	s = &Server{front: f, http: &http.Server{Handler: f, MaxHeaderBytes: mostHeader}}
+	s = &Server{front: f, http: &http.Server{Handler: f, MaxHeaderBytes: defaultMaxHeaderBytes}}
 	s.conns = clientconn.New(l, s.limits)
 	s.conns.Attach(s.http)
 	return s
 }
 
-// Address is where clients are served.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.conns.Addr().String() }
 
-// Connections are those of the clients.
+// Connections returns the set of client connections.
 func (s *Server) Connections() *clientconn.Set { return s.conns }
 
 // Start serves in the background.
 func (s *Server) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.running.Go(func() { background.Every(ctx, sweepEvery, s.sweep) })
+	s.running.Go(func() { background.Every(ctx, sweepPeriod, s.sweep) })
 	go s.serve(s.conns)
 	return nil
 }
@@ -78,21 +78,22 @@
 	}
 }
 
-// sweep ends connections to endpoints and of clients that have been idle, or bring a header, for too long.
+// sweep closes connections, to endpoints and of clients, that have been idle for too long, and those of clients that
+// take too long to send a header.
 func (s *Server) sweep(now time.Time) {
 	s.front.Pool.Sweep(now)
 	s.conns.Sweep(now)
 }
 
-// limits are those of the configuration in force, and the usual ones where it does not say. Without one, connections may
-// be idle: their clients come back when there is one.
+// limits returns the limits of the active configuration, with defaults where it sets none. Without a configuration,
+// connections may be idle without limit: their clients will retry when there is one.
 func (s *Server) limits() (l clientconn.Limits) {
-	l.Header = headerTimeout
+	l.Header = defaultHeaderTimeout
 	t := s.front.Configuration.Current()
 	if t == nil {
 		return l
 	}
-	l.Idle = idleTimeout
+	l.Idle = defaultIdleTimeout
 	if t.Limits().IdleTimeout > 0 {
 		l.Idle = t.Limits().IdleTimeout
 	}
@@ -102,25 +103,27 @@
 	return l
 }
 
-// leaveShare is the part of the grace in which a stopping router still takes requests: about as long as the balancer
-// needs to notice. What was begun then has the rest of the grace to end.
+// leaveShare is the part of the grace period in which a router that is stopping still serves requests: about as long as
+// the load balancer takes to react. Requests started in that time have the rest of the period to finish.
 const leaveShare = 0.34
 
-// endShare is the part of the grace after which what is still open is cut, so that the process ends by itself.
-const endShare = 0.93
+// drainShare is the part of the grace period after which open connections are closed by force, so that the process
+// exits by itself.
+const drainShare = 0.93
 
-// lingerShare is the part of the grace in which a router that refuses still takes connections when it serves nobody any
-// more: clients that go on connecting and say nothing must not keep it.
+// lingerShare is the part of the grace period in which a router that refuses requests still accepts connections while
+// no request is being served: clients that keep connecting without sending anything must not delay the stop.
 const lingerShare = 0.2
 
-// look is how often a stopping router looks whether it is still used.
-const look = 20 * time.Millisecond
+// drainPollPeriod is how often a router that is stopping checks whether connections are still in use.
+const drainPollPeriod = 20 * time.Millisecond
 
-// Drain serves on for a while, then refuses, and returns when no client is left on a connection or most of the grace has
-// passed. The connections are counted and not the requests: one that is being read is not a request yet.
+// Drain continues to serve for a while, then refuses requests, and returns when all client connections are closed or
+// most of the grace period has passed. It waits for connections and not for requests, because bytes that are being read
+// do not count as a request yet.
 func (s *Server) Drain(grace time.Duration) {
 	part := func(share float64) time.Duration { return time.Duration(share * float64(grace)) }
-	ctx, cancel := context.WithTimeout(context.Background(), part(endShare))
+	ctx, cancel := context.WithTimeout(context.Background(), part(drainShare))
 	defer cancel()
 	s.front.Leave()
 	time.Sleep(part(leaveShare))
@@ -130,30 +133,30 @@
 	_ = s.conns.Drain(ctx)
 }
 
-// linger refuses those that still come, until nobody is left. While a request is served, the router has to wait in any
-// case, and a refusal tells more than a connection that cannot be made.
+// linger accepts connections and refuses their requests until none is left. While a request is served, the router has
+// to wait anyway, and a refusal tells a client more than a failed connection.
 func (s *Server) linger(ctx context.Context, atMost time.Duration) {
 	began := time.Now()
 	for s.conns.Release() > 0 && ctx.Err() == nil {
 		if s.conns.Counts().Serving() == 0 && time.Since(began) > atMost {
 			return
 		}
-		time.Sleep(look)
+		time.Sleep(drainPollPeriod)
 	}
 }
 
-// Stop ends the listener and what is still open. http.Server's Shutdown would not do: it ends connections on which a
-// request is being read, and drops requests that it has read.
+// Stop closes the listener and the open connections. http.Server.Shutdown is not suitable: it closes connections on
+// which a request is being read, and drops requests that it has read.
 func (s *Server) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop serving clients")
 	s.cancel()
 	s.running.Stop()
-	ctx, cancel := context.WithTimeout(ctx, lastMoment)
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	err = s.conns.Stop(ctx)
 	_ = s.http.Close()
 	return err
 }
 
-// lastMoment is how long answers that are being written may take when the server stops.
-const lastMoment = 100 * time.Millisecond
+// stopTimeout is how long responses that are being written may take when the server stops.
+const stopTimeout = 100 * time.Millisecond
--- a/io/entry/stream.go
+++ b/io/entry/stream.go
@@ -12,120 +12,121 @@
 	"savoryfall/core/eventsplit"
 )
 
-// relay is a stream on its way to the client, over one attempt or several.
+// relay forwards a stream to the client over one or more attempts.
 type relay struct {
-	x         *exchange
-	lastID    int64
-	hasLast   bool
-	lastEvent string
-	started   bool
-	flusher   http.Flusher
-	buf       []byte
+	x             *exchange
+	lastID        int64
+	hasLast       bool
+	lastEvent     string
+	headerWritten bool
+	flusher       http.Flusher
+	buf           []byte
 }
 
-// stream answers a request whose answer is a series of events.
-func (x *exchange) stream() (p *ask.Problem) {
+// forwardStream handles a request whose response is a stream of events.
+func (x *exchange) forwardStream() (p *ask.Problem) {
 	s := &relay{x: x, lastEvent: x.ask.LastEvent}
 	s.flusher, _ = x.w.(http.Flusher)
 	last, err := strconv.ParseInt(x.ask.LastEvent, 10, 64)
 	s.lastID, s.hasLast = last, err == nil
-	done, p := x.tryEach(s.try)
+	done, p := x.tryEndpoints(s.try)
 	if done {
 		return nil
 	}
-	if s.started {
-		x.cut(p)
+	if s.headerWritten {
+		x.abort(p)
 	}
 	return p
 }
 
-// try relays one attempt; done tells that the client has its answer.
+// try forwards the stream of one attempt. done reports that the client has its complete response.
 func (s *relay) try(a *attempt) (done bool, p *ask.Problem) {
 	x := s.x
-	w := s.watch(a)
+	w := s.silenceWatch(a)
 	defer w.stop()
-	err := x.send(a, x.deadline.Add(spareTime), s.lastEvent)
+	err := x.send(a, x.deadline.Add(responseSlack), s.lastEvent)
 	if err != nil {
-		v, ran := failed(err)
-		x.end(a, v)
+		v, ran := classifyError(err)
+		x.finishAttempt(a, v)
 		if !ran {
-			return false, ask.NotRun(ask.Unreachable, backSoon)
+			return false, ask.NotRun(ask.Unreachable, retrySoon)
 		}
 		x.sends++
-		return false, x.lost(v)
+		return false, x.unknownOutcome(v)
 	}
 	x.sends++
 	if a.reply.NotRun {
-		a.heard()
-		return false, x.turnedAway(a)
+		a.firstBytesReceived()
+		return false, x.refusedByEndpoint(a)
 	}
-	if a.answer.Status != http.StatusOK || !x.genuine(a) {
-		return s.other(a)
+	if a.response.Status != http.StatusOK || !x.fromEndpoint(a) {
+		return s.forwardNonStream(a)
 	}
 	return s.relay(a, w)
 }
 
-// other deals with an answer that is not a stream.
-func (s *relay) other(a *attempt) (done bool, p *ask.Problem) {
+// forwardNonStream handles a response that is not a stream.
+func (s *relay) forwardNonStream(a *attempt) (done bool, p *ask.Problem) {
 	x := s.x
-	body, err := a.answer.ReadAll(maxAnswer)
-	answer := &whole{status: a.answer.Status, header: a.answer.Header, body: body}
-	if err != nil || !x.genuine(a) {
-		x.end(a, dispatch.Broken)
+	body, err := a.response.ReadAll(maxResponseBytes)
+	response := &plainResponse{status: a.response.Status, header: a.response.Header, body: body}
+	if err != nil || !x.fromEndpoint(a) {
+		x.finishAttempt(a, dispatch.Broken)
 		return false, ask.Unknown(ask.Broken)
 	}
-	x.end(a, dispatch.Failed)
-	if s.started || x.another(answer) && x.sends < x.route.MaxAttempts {
+	x.finishAttempt(a, dispatch.Failed)
+	if s.headerWritten || x.worthRetrying(response) && x.sends < x.route.MaxAttempts {
 		return false, ask.Unknown(ask.Broken)
 	}
-	x.deliver(answer)
+	x.writeResponse(response)
 	return true, nil
 }
 
-// chunk is the size in bytes of the reads of a stream.
-const chunk = 4 << 10
+// streamReadSize is the size of the read buffer for a stream, in bytes.
+const streamReadSize = 4 << 10
 
-// watch begins to watch an attempt that is about to be made, if the stream could go on after it.
-func (s *relay) watch(a *attempt) (w *watch) {
+// silenceWatch starts a silenceWatch for an attempt that is about to be made, if the stream could continue at another
+// endpoint.
+func (s *relay) silenceWatch(a *attempt) (w *silenceWatch) {
 	x := s.x
-	w = &watch{attempt: a, elsewhere: func() bool { return x.front.elsewhere(x.service, a) }}
+	w = &silenceWatch{attempt: a, canMove: func() bool { return x.front.canMove(x.service, a) }}
 	if x.route.Kind.Repeatable() && x.sends+1 < x.route.MaxAttempts {
 		w.start()
 	}
 	return w
 }
 
-// elsewhere tells whether a stream could leave its attempt for another endpoint of the service now.
-func (f *Front) elsewhere(service string, a *attempt) bool {
+// canMove reports whether another endpoint of the service could continue the stream of the attempt now.
+func (f *Front) canMove(service string, a *attempt) bool {
 	now := time.Now()
 	return f.Retries.Left(service, now) >= 1 && f.Dispatcher.Room(service, a.Endpoint().ID, now)
 }
 
-// errEvents says that the client could not be given the events as they came.
-var errEvents = errors.New("the events cannot be passed on")
+// errNotForwardable is returned if the events could not be forwarded to the client as received.
+var errNotForwardable = errors.New("events cannot be forwarded")
 
-// relay passes on whole events until the stream ends or breaks.
-func (s *relay) relay(a *attempt, w *watch) (done bool, p *ask.Problem) {
+// relay forwards complete events until the stream ends or fails.
+func (s *relay) relay(a *attempt, w *silenceWatch) (done bool, p *ask.Problem) {
 	var split eventsplit.Splitter
 	err := s.copy(a, w, &split)
 	if errors.Is(err, io.EOF) {
-		return s.ended(a, &split)
+		return s.finish(a, &split)
 	}
-	return s.broke(a, err)
+	return s.fail(a, err)
 }
 
-// copy reads until the end of the body, which is io.EOF, or until the stream breaks.
-func (s *relay) copy(a *attempt, w *watch, split *eventsplit.Splitter) (err error) {
+// copy reads until the stream fails or the body ends, for which it returns io.EOF.
+func (s *relay) copy(a *attempt, w *silenceWatch, split *eventsplit.Splitter) (err error) {
 	if s.buf == nil {
-		s.buf = make([]byte, chunk)
+		s.buf = make([]byte, streamReadSize)
 	}
 	for {
-		n, err := a.answer.Read(s.buf)
-		if n > 0 && !w.answered.Swap(true) {
-			a.heard()
+		n, err := a.response.Read(s.buf)
+		if n > 0 && !w.receiving.Swap(true) {
+			a.firstBytesReceived()
 		}
-		if n > 0 && !s.pass(a, split, s.buf[:n]) {
-			return errEvents
+		if n > 0 && !s.writeEvents(a, split, s.buf[:n]) {
+			return errNotForwardable
 		}
 		if err != nil {
 			return err
@@ -133,47 +134,48 @@
 	}
 }
 
-func (s *relay) broke(a *attempt, err error) (done bool, p *ask.Problem) {
+func (s *relay) fail(a *attempt, err error) (done bool, p *ask.Problem) {
 	v := dispatch.Broken
 	if isTimeout(err) {
 		v = dispatch.Silent
 	}
-	s.x.end(a, v)
-	return false, s.x.lost(v)
+	s.x.finishAttempt(a, v)
+	return false, s.x.unknownOutcome(v)
 }
 
-// ended is the end of the answer's body: the stream is whole when no event was left half.
-func (s *relay) ended(a *attempt, split *eventsplit.Splitter) (done bool, p *ask.Problem) {
+// finish handles the end of the response body: the stream is complete if no partial event is left.
+func (s *relay) finish(a *attempt, split *eventsplit.Splitter) (done bool, p *ask.Problem) {
 	x := s.x
 	if split.Partial() {
-		x.end(a, dispatch.Broken)
+		x.finishAttempt(a, dispatch.Broken)
 		return false, ask.Unknown(ask.Broken)
 	}
-	s.begin(a)
-	x.end(a, dispatch.Served)
-	x.served(http.StatusOK)
+	s.writeHeader(a)
+	x.finishAttempt(a, dispatch.Served)
+	x.recordServed(http.StatusOK)
 	return true, nil
 }
 
-// begin writes the header of the first attempt; later attempts go on under it.
-func (s *relay) begin(a *attempt) {
-	if s.started {
+// writeHeader sends the header of the first attempt that has events. Later attempts continue the same response.
+func (s *relay) writeHeader(a *attempt) {
+	if s.headerWritten {
 		return
 	}
-	s.started = true
+	s.headerWritten = true
 	h := s.x.w.Header()
-	copyAnswerHeader(h, a.answer.Header)
-	if a.answer.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.answer.Length, 10))
+	copyResponseHeader(h, a.response.Header)
+	if a.response.Length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(a.response.Length, 10))
 	}
-	s.x.closing(h)
-	s.x.w.WriteHeader(a.answer.Status)
+	s.x.setConnectionClose(h)
+	s.x.w.WriteHeader(a.response.Status)
 	s.x.firstEvent()
 }
 
-// pass writes the events that the bytes complete. An event that the client has is left out: an endpoint that goes on
-// for another may begin too early. One that leaves a gap breaks the stream.
-func (s *relay) pass(a *attempt, split *eventsplit.Splitter, p []byte) (ok bool) {
+// writeEvents writes the events that the bytes complete. Events that the client already has are skipped, because an
+// endpoint that continues the stream of another may start too early. It returns false if an event is too large or the
+// client cannot be written to.
+func (s *relay) writeEvents(a *attempt, split *eventsplit.Splitter, p []byte) (ok bool) {
 	events, ok := split.Write(p)
 	if !ok {
 		return false
@@ -184,7 +186,7 @@
 		if e.HasID && s.hasLast && e.ID <= s.lastID {
 			continue
 		}
-		s.begin(a)
+		s.writeHeader(a)
 		_, err := s.x.w.Write(e.Bytes)
 		if err != nil {
 			return false
--- /dev/null
+++ b/io/entry/testserver_test.go
@@ -0,0 +1,275 @@
+package entry
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/go-kit/log"
+	"go.opentelemetry.io/otel/trace/noop"
+
+	"savoryfall/core/ask"
+	"savoryfall/core/background"
+	"savoryfall/core/directory"
+	"savoryfall/core/dispatch"
+	"savoryfall/core/freshness"
+	"savoryfall/core/outcome"
+	"savoryfall/core/retryshare"
+	"savoryfall/core/routetable"
+	"savoryfall/io/http1"
+)
+
+// testServer is an in-memory server for clients on the clock of a synctest bubble, with one endpoint that takes
+// endpointDelay for each request.
+type testServer struct {
+	server   *Server
+	logLines logLines
+	lease    freshness.Lease
+	retries  retryshare.Share
+	table    atomic.Pointer[routetable.Table]
+	conns    chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
+	began    time.Time
+	// arrived counts the requests that the endpoint received.
+	arrived atomic.Int64
+	mu      sync.Mutex
+	opened  []net.Conn
+	// onRead is called once, when a read of a client connection has returned bytes that contain markHeader and net/http
+	// has not seen them yet. At this point, a goroutine may be paused for as long as its VM is.
+	onRead atomic.Pointer[func()]
+}
+
+const (
+	markHeader = "X-Mark: 1\r\n"
+	// endpointDelay is how long the endpoint takes for a request.
+	endpointDelay = 50 * time.Millisecond
+)
+
+// logLines records log lines.
+type logLines struct {
+	mu  sync.Mutex
+	all []string
+}
+
+func (l *logLines) Log(keyvals ...any) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.all = append(l.all, fmt.Sprintln(keyvals...))
+	return nil
+}
+
+func (l *logLines) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Join(l.all, "")
+}
+
+func (s *testServer) Current() *routetable.Table { return s.table.Load() }
+func (s *testServer) clock() time.Duration       { return time.Hour + time.Since(s.began) }
+
+// bookingTable returns a configuration with one route whose requests must not be repeated.
+func bookingTable(limits routetable.Limits) *routetable.Table {
+	return routetable.New(routetable.Contents{
+		Version: 1, Services: []routetable.Service{{Name: "plain"}}, Limits: limits,
+		Routes: []routetable.Route{{
+			Name: "book", Host: "shop.example", PathPrefix: "/book/", Kind: routetable.NonIdempotent, MaxAttempts: 1,
+			Targets: []routetable.Target{{Service: "plain", Weight: 1}}, Timeout: 3 * time.Second, Goal: 100 * time.Millisecond,
+		}},
+	})
+}
+
+func newTestServer(limits routetable.Limits) *testServer {
+	s := &testServer{conns: make(chan net.Conn), closed: make(chan struct{}), began: time.Now()}
+	table := bookingTable(limits)
+	s.table.Store(table)
+	s.retries.SetLimits(retryshare.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Routers: 1})
+	s.lease.SetTerm(time.Hour)
+	s.lease.Renew(s.clock())
+	d := dispatch.New("a")
+	d.Configure(table)
+	d.Update([]directory.Entry{{ID: "e1", Service: "plain", Address: "e1:1", FailureDomain: "a", Slots: 8}}, time.Now())
+	f := New(Parts{
+		Clients: clientProtocol{}, Endpoints: endpointProtocol{}, Configuration: s, Lease: &s.lease, Dispatcher: d, Retries: &s.retries,
+		Pool: http1.NewPool(s.dial), Tracer: noop.NewTracerProvider().Tracer(""), Figures: NewFigures(metrics.NewSet()),
+		Logger: log.Logger(&s.logLines), Clock: s.clock,
+	})
+	s.server = NewServerOn(s, f)
+	ctx, cancel := context.WithCancel(context.Background())
+	s.server.cancel = cancel
+	s.server.running.Go(func() { background.Every(ctx, sweepPeriod, s.server.sweep) })
+	go s.server.serve(markedListener{s.server.conns, s})
+	return s
+}
+
+// The protocol between the test clients, the router and the endpoint: requests and responses carry an id, and a
+// response is signed by the endpoint.
+const (
+	headerID      = "Id"
+	headerSigned  = "Signed"
+	clientTimeout = 3 * time.Second
+)
+
+type clientProtocol struct{}
+
+func (clientProtocol) Decode(r *http.Request) (a ask.Ask, err error) {
+	return ask.Ask{
+		ID: r.Header.Get(headerID), Host: r.Host, Path: r.URL.Path, Target: r.RequestURI, Method: r.Method, Patience: clientTimeout,
+	}, nil
+}
+
+func (clientProtocol) Refuse(p *ask.Problem, _ http.Header) (status int) {
+	switch {
+	case p.Outcome != outcome.NotRun:
+		return http.StatusBadGateway
+	case p.Reason == ask.BodySlow:
+		return http.StatusRequestTimeout
+	}
+	return http.StatusServiceUnavailable
+}
+
+type endpointProtocol struct{}
+
+func (endpointProtocol) Encode(client http.Header, _ ask.Sending) http.Header { return client }
+
+func (endpointProtocol) Answers(h http.Header, id string) bool { return h.Get(headerID) == id }
+
+func (endpointProtocol) Decode(_ int, h http.Header) ask.Reply {
+	return ask.Reply{Signed: h.Get(headerSigned) != ""}
+}
+
+// shutdown stops the server and waits for the goroutines of the endpoint, which must end before the bubble does.
+func (s *testServer) shutdown() {
+	_ = s.server.Stop(context.Background())
+	s.mu.Lock()
+	for _, c := range s.opened {
+		_ = c.Close()
+	}
+	s.mu.Unlock()
+	time.Sleep(time.Minute)
+}
+
+// dial connects to the endpoint.
+func (s *testServer) dial(context.Context, string) (net.Conn, error) {
+	ours, theirs := net.Pipe()
+	s.track(theirs)
+	go s.serveEndpoint(theirs)
+	return ours, nil
+}
+
+func (s *testServer) track(c net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.opened = append(s.opened, c)
+}
+
+// serveEndpoint runs the endpoint on one connection.
+func (s *testServer) serveEndpoint(c net.Conn) {
+	defer func() { _ = c.Close() }()
+	r := bufio.NewReader(c)
+	for {
+		req, err := http.ReadRequest(r)
+		if err != nil {
+			return
+		}
+		_, _ = io.ReadAll(req.Body)
+		s.arrived.Add(1)
+		time.Sleep(endpointDelay)
+		_, err = fmt.Fprintf(c, "HTTP/1.1 200 X\r\n%s: %s\r\n%s: of e1\r\nContent-Length: 2\r\n\r\nok",
+			headerID, req.Header.Get(headerID), headerSigned)
+		if err != nil {
+			return
+		}
+	}
+}
+
+// Accept, Close and Addr implement net.Listener for the server.
+func (s *testServer) Accept() (net.Conn, error) {
+	select {
+	case c := <-s.conns:
+		return c, nil
+	case <-s.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (s *testServer) Close() error {
+	s.once.Do(func() { close(s.closed) })
+	return nil
+}
+
+func (s *testServer) Addr() net.Addr { return &net.TCPAddr{} }
+
+// markedListener wraps the connections that the server accepts in markedConn.
+type markedListener struct {
+	net.Listener
+	s *testServer
+}
+
+func (l markedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &markedConn{Conn: c, s: l.s}, nil
+}
+
+// markedConn calls onRead after bytes have arrived in the process and before net/http receives them.
+type markedConn struct {
+	net.Conn
+	s *testServer
+}
+
+// NetConn returns the wrapped connection, as the method of tls.Conn does.
+func (c *markedConn) NetConn() net.Conn { return c.Conn }
+
+func (c *markedConn) Read(p []byte) (n int, err error) {
+	n, err = c.Conn.Read(p)
+	hook := c.s.onRead.Load()
+	if hook != nil && strings.Contains(string(p[:n]), markHeader) && c.s.onRead.CompareAndSwap(hook, nil) {
+		(*hook)()
+	}
+	return n, err
+}
+
+// testClient is one client connection.
+type testClient struct {
+	net.Conn
+	r *bufio.Reader
+}
+
+func (s *testServer) connect() *testClient {
+	ours, theirs := net.Pipe()
+	s.track(ours)
+	s.conns <- theirs
+	return &testClient{Conn: ours, r: bufio.NewReader(ours)}
+}
+
+// bookingRequest returns the text of a request with additional header lines.
+func bookingRequest(extraHeader string) string {
+	return "POST /book/x HTTP/1.1\r\nHost: shop.example\r\n" + headerID + ": id1\r\n" + extraHeader + "\r\n"
+}
+
+// sendAsync writes without waiting for the router to read.
+func (c *testClient) sendAsync(text string) {
+	go func() { _, _ = io.WriteString(c, text) }()
+}
+
+// readResponse returns the status of a complete response that arrives within 20 s, or an error.
+func (c *testClient) readResponse() (status int, err error) {
+	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodPost})
+	if err != nil {
+		return 0, err
+	}
+	_, err = io.ReadAll(resp.Body)
+	return resp.StatusCode, err
+}
--- a/io/entry/watch.go
+++ b/io/entry/watch.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// firstSilence is how long an endpoint that sends this router nothing at all is waited for at the start of a
-	// stream that may go on elsewhere, beside the time that it is expected to read prompts; nextSilence between two
-	// events. Both leave time for a second endpoint before the client gives up.
-	firstSilence = 500 * time.Millisecond
-	nextSilence  = 700 * time.Millisecond
-	// readingRate is how many prompt tokens a slow engine reads in a millisecond, for how long to wait.
-	readingRate = 40
-	// longestSilence bounds the wait, however much the endpoint has to read: clients leave a stream that is silent for
-	// two seconds or more.
-	longestSilence = 1500 * time.Millisecond
-	// lookAgain is when a silent endpoint is looked at again while there is nowhere else to go.
-	lookAgain = 200 * time.Millisecond
+	// maxFirstSilence is how long to wait at the start of a resumable stream for an endpoint that sends this router
+	// nothing at all, in addition to the time that it is expected to need for reading prompts. maxEventSilence is the
+	// same between two events. Both leave time for a second endpoint before the client gives up.
+	maxFirstSilence = 500 * time.Millisecond
+	maxEventSilence = 700 * time.Millisecond
+	// slowPrefillTokensPerMs is how many prompt tokens a slow engine reads in a millisecond.
+	slowPrefillTokensPerMs = 40
+	// maxSilence limits the wait regardless of how many prompt tokens the endpoint has to read: clients cancel a stream
+	// that is silent for two seconds or more.
+	maxSilence = 1500 * time.Millisecond
+	// recheckPeriod is when a silent endpoint is checked again if no other endpoint can take the stream.
+	recheckPeriod = 200 * time.Millisecond
 )
 
-// watch gives up an attempt that could go on elsewhere when its endpoint has sent this router nothing on any request
-// for too long. A pause of this stream alone may be a long prompt beside it. Nothing is given up while no other endpoint
-// could take it: a busy engine answers late, and an attempt that is ended has lost its place for nothing. A read deadline
-// that is moved on would not do: the reader of a chunked body fails for ever after its first time-out.
-type watch struct {
+// silenceWatch cancels an attempt that another endpoint could continue if its endpoint has sent this router nothing on
+// any request for too long. A pause of this stream alone may be caused by a long prompt of another request. No attempt
+// is cancelled while no other endpoint can take the stream: a busy engine responds late, and cancelling would only lose
+// the attempt's place in it. Extending a read deadline instead would not work: the reader of a chunked body keeps
+// failing after its first timeout.
+type silenceWatch struct {
 	attempt *attempt
-	// elsewhere tells whether another endpoint could take the stream now.
-	elsewhere func() bool
-	answered  atomic.Bool
+	// canMove reports whether another endpoint could take the stream now.
+	canMove   func() bool
+	receiving atomic.Bool
 	mu        sync.Mutex
 	timer     *time.Timer
 	done      bool
 }
 
-func (w *watch) start() {
+func (w *silenceWatch) start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.limit(time.Now()), w.look)
+	w.timer = time.AfterFunc(w.limit(time.Now()), w.check)
 }
 
-func (w *watch) look() {
+func (w *silenceWatch) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.done {
@@ -52,15 +53,15 @@
 	switch {
 	case left > 0:
 		w.timer.Reset(left)
-	case w.elsewhere():
-		w.attempt.abandon()
+	case w.canMove():
+		w.attempt.cancel()
 	default:
-		w.timer.Reset(lookAgain)
+		w.timer.Reset(recheckPeriod)
 	}
 }
 
-// stop ends the watch before the connection may serve another request.
-func (w *watch) stop() {
+// stop ends the watch before the connection may be used for another request.
+func (w *silenceWatch) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.done = true
@@ -69,11 +70,11 @@
 	}
 }
 
-func (w *watch) limit(now time.Time) time.Duration {
-	usual := firstSilence
-	if w.answered.Load() {
-		usual = nextSilence
+func (w *silenceWatch) limit(now time.Time) time.Duration {
+	wait := maxFirstSilence
+	if w.receiving.Load() {
+		wait = maxEventSilence
 	}
-	reading := time.Duration(w.attempt.ToRead(now)/readingRate) * time.Millisecond
-	return min(usual+reading, longestSilence)
+	prefill := time.Duration(w.attempt.ToRead(now)/slowPrefillTokensPerMs) * time.Millisecond
+	return min(wait+prefill, maxSilence)
 }
