--- a/io/clientconn/conn.go
+++ b/io/clientconn/conn.go
@@ -14,56 +14,60 @@
 	"savoryfall/core/field"
 )
 
-// state is what a connection is used for at the moment.
+// state is the state of a connection with respect to requests.
 type state int
 
 const (
-	// fresh: accepted, nothing was read yet.
-	fresh state = iota
-	// reading: bytes that belong to no answered request were read, and no handler has begun on them.
+	// accepted: nothing has been read yet.
+	accepted state = iota
+	// reading: bytes of an unanswered request have been read, and its handler has not started.
 	reading
-	// serving: from the beginning of the handler until the answer was written.
+	// serving: from the start of the handler until the response has been written.
 	serving
-	// idle: the answer was written, nothing of another request was read.
+	// idle: the response has been written, and nothing of another request has been read.
 	idle
 )
 
-// Conn is one connection of a client.
+// Conn is one client connection.
 //
-// net/http calls a connection idle until it has parsed the next request's header. Whoever ended idle connections by that
-// ended some whose request had been read already; it was parsed, sent on and cut, and its client got no answer. So the
-// connection itself takes note of each byte under the lock under which it is ended.
+// net/http reports a connection as idle until it has parsed the header of the next request. Closing idle connections by
+// that state closed some whose next request had already been read: it was parsed, forwarded and cancelled, and the
+// client received no response. Therefore the connection itself records each read, under the same lock under which it is
+// closed.
 type Conn struct {
 	net.Conn
-	// raw is nil where the kernel cannot be asked for unread bytes.
+	// raw is nil if the kernel cannot be asked for unread bytes.
 	raw syscall.RawConn
 
-	mu     sync.Mutex
-	state  state
-	since  time.Time
-	ending Ending
-	// waiting tells that net/http waits for bytes. It does not when it has read more than the request before, or has not
-	// come to it yet.
-	waiting bool
-	// asked is why a read that waits is to end the connection, where the kernel cannot be asked for unread bytes.
-	asked Ending
-	// limit is for how long the connection may be idle by what was in force when it became so: its client goes by that,
-	// also when the limit has been lowered since.
+	mu          sync.Mutex
+	state       state
+	stateSince  time.Time
+	closeReason CloseReason
+	// readBlocked is set while net/http waits for bytes. It is not set while net/http still has buffered bytes beyond
+	// the previous request, or has not returned to reading yet.
+	readBlocked bool
+	// pendingClose is the reason for which a blocked read is to close the connection, where the kernel cannot be asked
+	// for unread bytes.
+	pendingClose CloseReason
+	// limit is the idle timeout in force when the connection became idle. The client relies on it even if the timeout
+	// has been lowered since.
 	limit time.Duration
-	// served is how many answers were written, idleFor how long the connection was idle before the present request.
-	served  int
-	idleFor time.Duration
-	// readFor is how long the present request took from its first byte to its handler.
-	readFor time.Duration
-	// overdue is when the present request's header was first seen to be late.
-	overdue time.Time
-	// encrypted tells that what is read may be of a handshake, and not of a request; heard when the last bytes came.
-	encrypted bool
-	heard     time.Time
+	// responses is the number of responses written, idleTime how long the connection was idle before the current
+	// request.
+	responses int
+	idleTime  time.Duration
+	// readTime is the time from the first byte of the current request to the start of its handler.
+	readTime time.Duration
+	// lateSince is when the header of the current request was first found to be late.
+	lateSince time.Time
+	// isTLS reports that bytes read may belong to a TLS handshake instead of a request. lastRead is when bytes were
+	// last read.
+	isTLS    bool
+	lastRead time.Time
 }
 
 func newConn(c net.Conn) *Conn {
-	w := &Conn{Conn: c, since: time.Now()}
+	w := &Conn{Conn: c, stateSince: time.Now()}
 	if sc, is := c.(syscall.Conn); is {
 		raw, err := sc.SyscallConn()
 		if err == nil {
@@ -73,29 +77,29 @@
 	return w
 }
 
-// Read marks the connection as used in the same step that takes the bytes from the kernel: between the two, a goroutine
-// may stand still for as long as its VM does.
+// Read updates the state in the same critical section in which the bytes are taken from the kernel. Otherwise, the
+// goroutine could be paused between the two for as long as its VM is.
 func (c *Conn) Read(p []byte) (n int, err error) {
 	if c.raw == nil || len(p) == 0 {
-		c.wait(true)
+		c.setReadBlocked(true)
 		n, err = c.Conn.Read(p)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.took(n, err)
+		return c.recordRead(n, err)
 	}
 	failed := c.raw.Read(func(fd uintptr) (done bool) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		n, err = readOnce(int(fd), p)
 		if errors.Is(err, unix.EAGAIN) {
-			c.waiting = true
+			c.readBlocked = true
 			return false
 		}
-		n, err = c.took(n, err)
+		n, err = c.recordRead(n, err)
 		return true
 	})
 	if failed != nil {
-		c.wait(false)
+		c.setReadBlocked(false)
 		return 0, c.readError(failed)
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -104,25 +108,25 @@
 	return n, err
 }
 
-func (c *Conn) wait(waiting bool) {
+func (c *Conn) setReadBlocked(readBlocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting = waiting
+	c.readBlocked = readBlocked
 }
 
-// Write notes when the other side is found to be gone, or does not take what is sent.
+// Write records if the peer is gone or does not read what is sent.
 func (c *Conn) Write(p []byte) (n int, err error) {
 	n, err = c.Conn.Write(p)
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.lost(writeEnding(err))
+		c.setCloseReason(writeCloseReason(err))
 	}
 	return n, err
 }
 
-// CloseWrite ends the sending side. net/http does so before it waits for a client that is still sending: otherwise the
-// client's bytes meet a closed connection, and the reset that answers them takes the answer with it.
+// CloseWrite shuts down the sending side. net/http does this before it waits for a client that is still sending:
+// otherwise the client's bytes arrive at a closed socket, and the resulting reset may discard the response.
 func (c *Conn) CloseWrite() error {
 	half, is := c.Conn.(interface{ CloseWrite() error })
 	if !is {
@@ -146,7 +150,7 @@
 	}
 }
 
-// readError is the error as net itself gives it, which net/http looks for.
+// readError returns the error in the form in which package net returns it, which net/http checks for.
 func (c *Conn) readError(cause error) error {
 	var of *net.OpError
 	if errors.As(cause, &of) {
@@ -159,122 +163,126 @@
 	return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: cause}
 }
 
-// took notes what a read brought. Bytes that come after this process has ended the connection go nowhere.
-func (c *Conn) took(n int, err error) (int, error) {
-	c.waiting = false
-	if c.asked != "" {
-		c.heed(n, err)
+// recordRead updates the state after a read. Bytes read after this process has closed the connection are dropped.
+func (c *Conn) recordRead(n int, err error) (int, error) {
+	c.readBlocked = false
+	if c.pendingClose != "" {
+		c.completePendingClose(n, err)
 	}
-	if c.ending.Ours() {
+	if c.closeReason.Local() {
 		return 0, c.readError(net.ErrClosed)
 	}
 	if n > 0 {
-		c.heard = time.Now()
+		c.lastRead = time.Now()
 	}
-	if n > 0 && (c.state == idle || c.state == fresh) {
-		c.idleFor = time.Since(c.since)
-		c.enter(reading)
+	if n > 0 && (c.state == idle || c.state == accepted) {
+		c.idleTime = time.Since(c.stateSince)
+		c.setState(reading)
 	}
 	if err != nil {
-		c.lost(readEnding(err))
+		c.setCloseReason(readCloseReason(err))
 	}
 	return n, err
 }
 
-// heed ends the connection, as was asked for, unless the read has brought something.
-func (c *Conn) heed(n int, err error) {
+// completePendingClose records the requested close, unless the read has returned bytes or another error. The read then
+// fails, and net/http closes the connection.
+func (c *Conn) completePendingClose(n int, err error) {
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		c.lost(c.asked)
+		c.setCloseReason(c.pendingClose)
 	}
-	c.asked = ""
+	c.pendingClose = ""
 	_ = c.SetReadDeadline(time.Time{})
 }
 
-// lost notes the first end.
-func (c *Conn) lost(e Ending) {
-	if c.ending == "" {
-		c.ending = e
+// setCloseReason records why the connection was closed. Only the first reason is kept.
+func (c *Conn) setCloseReason(e CloseReason) {
+	if c.closeReason == "" {
+		c.closeReason = e
 	}
 }
 
-func (c *Conn) enter(s state) { c.state, c.since, c.overdue = s, time.Now(), time.Time{} }
+func (c *Conn) setState(s state) { c.state, c.stateSince, c.lateSince = s, time.Now(), time.Time{} }
 
-// begin is called when a request's handler begins, and tells whether it may: not on a connection that was ended.
-func (c *Conn) begin() (ok bool) {
+// startRequest is called when the handler of a request starts. It returns false if this process has closed the
+// connection, in which case the request must not be served.
+func (c *Conn) startRequest() (ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readFor = time.Since(c.since)
-	c.enter(serving)
-	return !c.ending.Ours()
+	c.readTime = time.Since(c.stateSince)
+	c.setState(serving)
+	return !c.closeReason.Local()
 }
 
-// encrypt is called when a server is to shake hands with the client before it reads requests.
-func (c *Conn) encrypt() {
+// setTLS is called when a server is about to do a TLS handshake with the client.
+func (c *Conn) setTLS() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.encrypted = true
+	c.isTLS = true
 }
 
-// rest is called when an answer has been written.
-func (c *Conn) rest(limit time.Duration) {
+// finishResponse is called when a response has been written. limit is the idle timeout that applies.
+func (c *Conn) finishResponse(limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.served++
+	c.responses++
 	c.limit = limit
-	c.enter(idle)
+	c.setState(idle)
 }
 
-// endIf ends the connection when nobody is using it and may allows it: net/http waits for bytes, and none lie in the kernel.
-func (c *Conn) endIf(why Ending, may func() bool) {
+// closeIf closes the connection if it is unused, net/http waits for bytes, the kernel has none and allowed returns
+// true.
+func (c *Conn) closeIf(reason CloseReason, allowed func() bool) {
 	c.mu.Lock()
-	ended := c.ending == "" && c.unused() && c.waiting && may() && !c.unread()
+	closing := c.closeReason == "" && c.unused() && c.readBlocked && allowed() && !c.hasUnreadBytes()
 	switch {
-	case ended && c.raw == nil:
-		// Only the read itself knows whether it has bytes. It decides when this deadline wakes it.
-		ended, c.asked = false, why
-		_ = c.SetReadDeadline(longAgo)
-	case ended:
-		c.ending = why
+	case closing && c.raw == nil:
+		// Only the read itself knows whether it has bytes. It decides when this deadline wakes it up.
+		closing, c.pendingClose = false, reason
+		_ = c.SetReadDeadline(pastDeadline)
+	case closing:
+		c.closeReason = reason
 	}
 	c.mu.Unlock()
-	// Not under the lock: closing waits for a read that waits for the lock.
-	if ended {
+	// Not under the lock: Close waits for a read that waits for the lock.
+	if closing {
 		_ = c.Close()
 	}
 }
 
-// unused tells whether nothing of a request was read. An encrypted connection whose client has shaken hands and asked for
-// nothing looks like one on which a header is being read; like the others, it is ended only while its reader waits for
-// more, which it does when it has looked at all that came.
+// unused reports whether nothing of a request has been read. A TLS connection whose client has completed the handshake
+// without sending a request looks like one on which a header is being read. Like any other, it is closed only while its
+// reader is blocked, that is, after the reader has processed everything received.
 func (c *Conn) unused() bool {
-	return c.state == idle || c.state == fresh || c.encrypted && c.served == 0 && c.state == reading
+	return c.state == idle || c.state == accepted || c.isTLS && c.responses == 0 && c.state == reading
 }
 
-// abandoned tells whether a stopping process need not wait for a request on an unused connection any longer.
-func (c *Conn) abandoned(now time.Time) bool {
+// closableOnStop reports whether a process that is stopping no longer needs to wait for a request on an unused
+// connection.
+func (c *Conn) closableOnStop(now time.Time) bool {
 	switch c.state {
 	case idle:
 		return true
-	case fresh:
-		return now.Sub(c.since) > newFor
+	case accepted:
+		return now.Sub(c.stateSince) > requestGrace
 	default:
-		return now.Sub(c.heard) > newFor
+		return now.Sub(c.lastRead) > requestGrace
 	}
 }
 
-// longAgo as a deadline ends reads at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline, set as a deadline, makes reads fail at once.
+var pastDeadline = time.Unix(1, 0)
 
-// cut ends the connection whatever it is used for.
-func (c *Conn) cut() {
+// forceClose closes the connection in any state.
+func (c *Conn) forceClose() {
 	c.mu.Lock()
-	c.lost(ByStop)
+	c.setCloseReason(Stopped)
 	c.mu.Unlock()
 	_ = c.Close()
 }
 
-// unread tells whether bytes wait in the kernel.
-func (c *Conn) unread() (yes bool) {
+// hasUnreadBytes reports whether the kernel has bytes that have not been read.
+func (c *Conn) hasUnreadBytes() (yes bool) {
 	if c.raw == nil {
 		return false
 	}
@@ -286,47 +294,48 @@
 	return yes
 }
 
-// secondLook is how much later a late header is looked at again before it ends its connection.
-const secondLook = 500 * time.Millisecond
+// lateHeaderRecheck is the minimum time between two checks that find a header late before its connection is closed.
+const lateHeaderRecheck = 500 * time.Millisecond
 
-// endLate ends the connection when a header is late and still is at a second look: a process that stood still must have
-// time to go on with what it has read.
-func (c *Conn) endLate(now time.Time, limit time.Duration) {
+// closeLateHeader closes the connection if a header is late at two checks: a process that was paused needs time to
+// process what it has already read.
+func (c *Conn) closeLateHeader(now time.Time, limit time.Duration) {
 	c.mu.Lock()
-	late := c.ending == "" && c.state == reading && now.Sub(c.since) > limit
-	if late && c.overdue.IsZero() {
-		c.overdue = now
+	late := c.closeReason == "" && c.state == reading && now.Sub(c.stateSince) > limit
+	if late && c.lateSince.IsZero() {
+		c.lateSince = now
 	}
-	ended := late && now.Sub(c.overdue) >= secondLook
-	if ended {
-		c.ending = ByHeader
+	closing := late && now.Sub(c.lateSince) >= lateHeaderRecheck
+	if closing {
+		c.closeReason = HeaderTimeout
 	}
 	c.mu.Unlock()
-	if ended {
+	if closing {
 		_ = c.Close()
 	}
 }
 
-// using is what the connection is used for.
-func (c *Conn) using() state {
+// currentState returns the state of the connection.
+func (c *Conn) currentState() state {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state
 }
 
-// Ending is why the connection has ended, empty while it has not and where net/http ended it after an answer.
-func (c *Conn) Ending() Ending {
+// CloseReason returns why the connection was closed. It is empty while the connection is open, and if net/http closed
+// it after a response.
+func (c *Conn) CloseReason() CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ending
+	return c.closeReason
 }
 
-// Fields are the connection's part of a log line on a request: how it ended, what it had served before, how long it had
-// been idle, and how long the request took from its first byte to its handler.
-func (c *Conn) Fields() (keyvals []any) {
+// LogFields returns log fields for a request on the connection: why the connection was closed, how many responses it
+// had carried before, how long it had been idle, and the time from the request's first byte to its handler.
+func (c *Conn) LogFields() (keyvals []any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return []any{
-		field.Ended, c.ending, field.Served, c.served, field.IdleMs, c.idleFor.Milliseconds(), field.ReadMs, c.readFor.Milliseconds(),
+		field.Ended, c.closeReason, field.Served, c.responses, field.IdleMs, c.idleTime.Milliseconds(), field.ReadMs, c.readTime.Milliseconds(),
 	}
 }
--- a/io/clientconn/counts.go
+++ b/io/clientconn/counts.go
@@ -1,17 +1,17 @@
 package clientconn
 
-// Counts are numbers of connections by what they are used for.
+// Counts are the numbers of connections by state.
 type Counts struct {
 	idle, reading, serving int
 }
 
-// Idle are those without a request.
+// Idle returns the number of connections without a request.
 func (n Counts) Idle() int { return n.idle }
 
-// Reading are those on which a request has begun to come and has not begun to be served.
+// Reading returns the number of connections on which a request has started to arrive and its handler has not started.
 func (n Counts) Reading() int { return n.reading }
 
-// Serving are those with a request in its handler.
+// Serving returns the number of connections with a request in its handler.
 func (n Counts) Serving() int { return n.serving }
 
 func (n *Counts) add(s state) {
--- a/io/clientconn/doc.go
+++ b/io/clientconn/doc.go
@@ -1,2 +1,3 @@
-// Package clientconn keeps the connections of clients, knows how each came to its end, and ends none under a request.
+// Package clientconn tracks client connections, records why each was closed, and never closes a connection as idle while
+// a request is arriving on it.
 package clientconn
--- a/io/clientconn/pair_test.go
+++ b/io/clientconn/helpers_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/poll"
 )
 
-// pair is a set with one connection, accepted from a client on loopback.
-func pair(t *testing.T, limits *Limits) (s *Set, c *Conn, client net.Conn) {
+// newTCPConn returns a set with one connection, accepted from a client on the loopback interface.
+func newTCPConn(t *testing.T, limits *Limits) (s *Set, c *Conn, client net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -27,30 +27,30 @@
 	return s, accepted.(*Conn), client
 }
 
-// rest is what net/http does after an answer: it calls the connection idle and waits for bytes.
-func rest(s *Set, c *Conn) {
-	s.note(c, http.StateIdle)
-	c.wait(true)
+// markIdle does what net/http does after a response: it reports the connection as idle and waits for bytes.
+func markIdle(s *Set, c *Conn) {
+	s.onStateChange(c, http.StateIdle)
+	c.setReadBlocked(true)
 }
 
-// awaitUnread waits until the client's bytes lie in the kernel.
+// awaitUnread waits until the client's bytes have arrived in the kernel.
 func awaitUnread(t *testing.T, c *Conn) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if c.unread() {
+		if c.hasUnreadBytes() {
 			return poll.Success()
 		}
-		return poll.Continue("the bytes have not come")
+		return poll.Continue("the bytes have not arrived")
 	}, poll.WithDelay(time.Millisecond))
 }
 
-// piped is a set whose connections' kernel cannot be asked.
-type piped struct {
+// pipeListener accepts connections of net.Pipe, for which the kernel cannot be asked for unread bytes.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p piped) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -59,23 +59,23 @@
 	}
 }
 
-func (p piped) Close() error {
+func (p pipeListener) Close() error {
 	close(p.done)
 	return nil
 }
 
-func (p piped) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func pipe(t *testing.T, limits *Limits) (s *Set, c *Conn, client net.Conn) {
+func newPipeConn(t *testing.T, limits *Limits) (s *Set, c *Conn, client net.Conn) {
 	t.Helper()
-	p := piped{conns: make(chan net.Conn, 1), done: make(chan struct{})}
+	p := pipeListener{conns: make(chan net.Conn, 1), done: make(chan struct{})}
 	s = New(p, func() Limits { return *limits })
 	ours, theirs := net.Pipe()
 	p.conns <- ours
 	accepted, err := s.Accept()
 	assert.NilError(t, err)
 	c = accepted.(*Conn)
-	// As net/http does: it waits for bytes, and closes when it gets none.
+	// Like net/http, wait for bytes and close the connection on an error.
 	go func() {
 		for err == nil {
 			_, err = c.Read(make([]byte, 1))
@@ -86,8 +86,8 @@
 	return s, c, theirs
 }
 
-// sweep looks for idle connections and lets their readers act on it.
-func sweep(s *Set) {
+// sweepAndWait closes idle connections and waits until their readers have reacted.
+func sweepAndWait(s *Set) {
 	s.Sweep(time.Now())
 	synctest.Wait()
 }
--- a/io/clientconn/set.go
+++ b/io/clientconn/set.go
@@ -11,43 +11,44 @@
 	"savoryfall/core/annotate"
 )
 
-// Limits bound the time that a client may take; 0 is no limit.
+// Limits are timeouts for clients. 0 is no limit.
 type Limits struct {
-	// Idle is for how long a connection may be without a request, Header for how long the header of one may take.
+	// Idle is how long a connection may be without a request, Header how long the header of a request may take.
 	Idle   time.Duration
 	Header time.Duration
 }
 
-// Set are the connections of one listener, and takes its place for an http.Server; New makes one.
+// Set tracks the connections of one listener, and is a net.Listener for an http.Server. Use New to create one.
 type Set struct {
 	listener net.Listener
 	limits   func() Limits
 	mu       sync.Mutex
 	conns    map[*Conn]struct{}
-	// idle is the limit in force when it was last looked at, and idleBefore the one before it, until changed.
-	idle       time.Duration
-	idleBefore time.Duration
-	changed    time.Time
-	ended      map[Ending]uint64
-	once       sync.Once
-	closed     error
+	// lastIdle is the idle timeout at the last check, and previousIdle the one in force until idleChangedAt.
+	lastIdle      time.Duration
+	previousIdle  time.Duration
+	idleChangedAt time.Time
+	closedBy      map[CloseReason]uint64
+	closeOnce     sync.Once
+	closeErr      error
 }
 
 const (
-	// idleSlack is how much longer than the limit an idle connection is kept, so that a client that uses it at the last
-	// moment is served.
+	// idleSlack is how much longer than the idle timeout a connection is kept, so that a client that uses it at the
+	// last moment is served.
 	idleSlack = time.Second
-	// heardWithin is how long after a change of the limit clients may still go by the one before.
-	heardWithin = 3 * time.Second
-	// newFor is for how long a connection without a request counts as used: its client has just made it for one.
-	newFor = time.Second
-	// look is how often a stopping process looks for connections that nobody uses any more.
-	look = 20 * time.Millisecond
+	// limitPropagation is how long after a change of the idle timeout clients may still rely on the previous one.
+	limitPropagation = 3 * time.Second
+	// requestGrace is how long a connection without a request is considered in use: the client has probably just opened
+	// it to send one.
+	requestGrace = time.Second
+	// drainPollPeriod is how often a process that is stopping checks for unused connections.
+	drainPollPeriod = 20 * time.Millisecond
 )
 
-// New keeps the connections of the listener within what limits gives at the time.
+// New creates a set for the connections of the listener. limits returns the limits in force.
 func New(l net.Listener, limits func() Limits) *Set {
-	return &Set{listener: l, limits: limits, conns: map[*Conn]struct{}{}, ended: map[Ending]uint64{}}
+	return &Set{listener: l, limits: limits, conns: map[*Conn]struct{}{}, closedBy: map[CloseReason]uint64{}}
 }
 
 // Accept waits for the next connection.
@@ -63,45 +64,45 @@
 	return c, nil
 }
 
-// Close takes no more connections; those that are there stay. Only the first call counts: a process that drains closes the
-// set itself, and http.Server closes it again when it ends before it has noticed. An error of that would be taken for one
-// of the stop.
+// Close stops accepting connections and keeps those that are open. Only the first call closes the listener: a process
+// that drains closes the set itself, and http.Server closes it again if it is closed before its accept loop has
+// noticed. An error of the second call would be reported as an error of the stop.
 func (s *Set) Close() error {
-	s.once.Do(func() { s.closed = s.listener.Close() })
-	return s.closed
+	s.closeOnce.Do(func() { s.closeErr = s.listener.Close() })
+	return s.closeErr
 }
 
-// Addr is where the set listens.
+// Addr returns the address of the listener.
 func (s *Set) Addr() net.Addr { return s.listener.Addr() }
 
-// Attach lets the server tell the set what its connections are used for. The server's own time-outs for connections must
-// not be set: they go by when a goroutine runs, not by when bytes came.
+// Attach makes the server report the states of its connections to the set. The server's own connection timeouts must
+// not be set: they depend on when a goroutine runs, not on when bytes arrived.
 func (s *Set) Attach(h *http.Server) {
 	next := h.Handler
-	h.ConnState = s.note
+	h.ConnState = s.onStateChange
 	h.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, key{}, own(c))
+		return context.WithValue(ctx, connKey{}, unwrap(c))
 	}
 	h.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := Of(r.Context())
-		if c != nil && !c.begin() {
+		c := FromContext(r.Context())
+		if c != nil && !c.startRequest() {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// key is that of a connection in the context of its requests.
-type key struct{}
+// connKey is the key of a connection in the context of its requests.
+type connKey struct{}
 
-// Of is the connection of a request by its context, nil where the server has no set.
-func Of(ctx context.Context) *Conn {
-	c, _ := ctx.Value(key{}).(*Conn)
+// FromContext returns the connection of a request from its context, or nil if the server has no set.
+func FromContext(ctx context.Context) *Conn {
+	c, _ := ctx.Value(connKey{}).(*Conn)
 	return c
 }
 
-// own is the set's connection below what the server sees, which may be encrypted.
-func own(c net.Conn) *Conn {
+// unwrap returns the Conn below the connection that the server sees, which may be a TLS connection.
+func unwrap(c net.Conn) *Conn {
 	for {
 		switch v := c.(type) {
 		case *Conn:
@@ -114,84 +115,85 @@
 	}
 }
 
-func (s *Set) note(raw net.Conn, at http.ConnState) {
-	c := own(raw)
+func (s *Set) onStateChange(raw net.Conn, at http.ConnState) {
+	c := unwrap(raw)
 	if c == nil {
 		return
 	}
 	switch at {
 	case http.StateNew:
 		if _, is := raw.(*tls.Conn); is {
-			c.encrypt()
+			c.setTLS()
 		}
 	case http.StateIdle:
-		c.rest(s.idleLimit(time.Now()))
+		c.finishResponse(s.idleLimit(time.Now()))
 	case http.StateClosed, http.StateHijacked:
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, c)
-		s.ended[c.Ending()]++
+		s.closedBy[c.CloseReason()]++
 	}
 }
 
-// idleLimit is for how long a connection that becomes idle now may be so: the limit in force, or the one before as long as
-// clients may not have heard of the change. Ended by a lowered limit at once, a connection is gone when a client that does
-// not know it yet sends the next request.
+// idleLimit returns how long a connection that becomes idle now may stay idle: the timeout in force, or the previous
+// one if that is longer and clients may not know of the change yet. If a lowered timeout applied at once, the
+// connection would be gone when a client that does not know of it sends its next request.
 func (s *Set) idleLimit(now time.Time) time.Duration {
 	limit := s.limits().Idle
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if limit != s.idle {
-		s.idle, s.idleBefore, s.changed = limit, s.idle, now
+	if limit != s.lastIdle {
+		s.lastIdle, s.previousIdle, s.idleChangedAt = limit, s.lastIdle, now
 	}
-	if now.Sub(s.changed) < heardWithin {
-		return max(limit, s.idleBefore)
+	if now.Sub(s.idleChangedAt) < limitPropagation {
+		return max(limit, s.previousIdle)
 	}
 	return limit
 }
 
-// Sweep ends connections that have been idle, or have been sending a header, for longer than they may.
+// Sweep closes connections that have been idle, or have been sending a header, for longer than allowed.
 func (s *Set) Sweep(now time.Time) {
 	idle, header := s.idleLimit(now), s.limits().Header
 	for _, c := range s.all() {
 		if idle > 0 {
-			c.endIf(ByIdle, func() bool { return now.Sub(c.since) > max(idle, c.limit)+idleSlack })
+			c.closeIf(IdleTimeout, func() bool { return now.Sub(c.stateSince) > max(idle, c.limit)+idleSlack })
 		}
 		if header > 0 {
-			c.endLate(now, header)
+			c.closeLateHeader(now, header)
 		}
 	}
 }
 
-// Release ends the connections that nobody uses, and returns how many are left. A stopping process calls it until none
-// is: each is ended in the moment at which its client has its answer and has sent nothing else.
-func (s *Set) Release() (left int) {
+// CloseUnused closes connections that are not in use, and returns how many are left. A process that is stopping calls
+// it until none is left: each connection is closed at a moment at which its client has its response and has sent
+// nothing else.
+func (s *Set) CloseUnused() (left int) {
 	now := time.Now()
 	for _, c := range s.all() {
-		c.endIf(ByStop, func() bool { return c.abandoned(now) })
+		c.closeIf(Stopped, func() bool { return c.closableOnStop(now) })
 	}
 	return len(s.all())
 }
 
-// Drain releases connections until none is left or the context ends.
+// Drain closes connections as they become unused, until none is left or the context is done.
 func (s *Set) Drain(ctx context.Context) (err error) {
-	for s.Release() > 0 {
+	for s.CloseUnused() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(look):
+		case <-time.After(drainPollPeriod):
 		}
 	}
 	return nil
 }
 
-// Stop takes no more connections, drains those that are left, and cuts what is still used when the context ends.
+// Stop stops accepting connections, drains them, and closes those still in use when the context is done.
 func (s *Set) Stop(ctx context.Context) (err error) {
-	defer annotate.Error(&err, "end connections of clients")
+	defer annotate.Error(&err, "close client connections")
 	_ = s.Close()
 	err = s.Drain(ctx)
 	for _, c := range s.all() {
-		c.cut()
+		c.forceClose()
 	}
 	return err
 }
@@ -205,17 +207,17 @@
 	return list
 }
 
-// Counts are how many connections are idle, have a request that is being read, and one that is being served.
+// Counts returns how many connections are idle, reading a request and serving one.
 func (s *Set) Counts() (n Counts) {
 	for _, c := range s.all() {
-		n.add(c.using())
+		n.add(c.currentState())
 	}
 	return n
 }
 
-// Ended is how many connections came to that end.
-func (s *Set) Ended(e Ending) uint64 {
+// Ended returns how many connections were closed for the reason.
+func (s *Set) Ended(e CloseReason) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ended[e]
+	return s.closedBy[e]
 }
--- a/io/clientconn/set_test.go
+++ b/io/clientconn/set_test.go
@@ -17,95 +17,97 @@
 	"gotest.tools/v3/assert"
 )
 
-// A configuration lowers the time for which connections may be idle. A client, which goes by the time of before, sends a
-// request on a connection that has been idle for longer than the new one; the router had just taken the configuration,
-// ended the connection, and then read the request, sent it on, and cut it.
-func TestLoweredIdleLimitSparesConnectionsOfBefore(t *testing.T) {
+// A configuration lowers the idle timeout. A client that relies on the previous one sends a request on a connection
+// that has been idle for longer than the new one. The router, which had just applied the configuration, closed the
+// connection, then read and forwarded the request and cancelled it.
+func TestLoweredIdleLimitKeepsExistingConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := &Limits{Idle: 15 * time.Second}
-		s, c, client := pipe(t, limits)
-		s.note(c, http.StateIdle)
+		s, c, client := newPipeConn(t, limits)
+		s.onStateChange(c, http.StateIdle)
 		time.Sleep(11 * time.Second)
 		limits.Idle = 5 * time.Second
-		sweep(s)
-		assert.Equal(t, c.Ending(), Ending(""))
+		sweepAndWait(s)
+		assert.Equal(t, c.CloseReason(), CloseReason(""))
 		time.Sleep(6 * time.Second)
-		sweep(s)
-		assert.Equal(t, c.Ending(), ByIdle)
+		sweepAndWait(s)
+		assert.Equal(t, c.CloseReason(), IdleTimeout)
 		_, err := client.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, io.EOF)
 	})
 }
 
-// A configuration lowers the limit, and this router has it at once. A client hears of it two seconds later, and leaves the
-// connection on which it has just been answered idle by the limit of before: its next request found it ended.
-func TestLoweredIdleLimitIsHeardLater(t *testing.T) {
+// A configuration lowers the idle timeout. This router applies it at once, while a client learns of it two seconds
+// later and keeps the connection of its last request idle according to the previous timeout. The client's next request
+// found the connection closed.
+func TestLoweredIdleLimitAppliesAfterPropagation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := &Limits{Idle: 15 * time.Second}
-		s, c, _ := pipe(t, limits)
-		s.note(c, http.StateIdle)
+		s, c, _ := newPipeConn(t, limits)
+		s.onStateChange(c, http.StateIdle)
 		time.Sleep(time.Second)
 		limits.Idle = 5 * time.Second
-		sweep(s)
+		sweepAndWait(s)
 		time.Sleep(time.Second)
-		s.note(c, http.StateIdle)
+		s.onStateChange(c, http.StateIdle)
 		time.Sleep(12 * time.Second)
-		sweep(s)
-		assert.Equal(t, c.Ending(), Ending(""))
-		s.note(c, http.StateIdle)
+		sweepAndWait(s)
+		assert.Equal(t, c.CloseReason(), CloseReason(""))
+		s.onStateChange(c, http.StateIdle)
 		time.Sleep(7 * time.Second)
-		sweep(s)
-		assert.Equal(t, c.Ending(), ByIdle, "the client has heard of the limit")
+		sweepAndWait(s)
+		assert.Equal(t, c.CloseReason(), IdleTimeout, "the previous limit was applied for too long")
 	})
 }
 
-// A client sends a header byte by byte, or the process stands still while it reads one. Only the first may cost the
-// connection: after a standstill, the header may lie read and unparsed.
-func TestSlowHeaderEndsAConnectionAndAStandstillDoesNot(t *testing.T) {
+// A client sends a header byte by byte, or the process is paused while it reads one. Only the former may close the
+// connection: after a pause, the header may have been read and not parsed yet.
+func TestLateHeaderNeedsTwoChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c, _ := pipe(t, &Limits{Header: 3 * time.Second})
-		_, _ = c.took(1, nil)
+		s, c, _ := newPipeConn(t, &Limits{Header: 3 * time.Second})
+		_, _ = c.recordRead(1, nil)
 		time.Sleep(10 * time.Second)
-		sweep(s)
-		sweep(s)
-		assert.Equal(t, c.Ending(), Ending(""), "two looks that follow at once are one")
+		sweepAndWait(s)
+		sweepAndWait(s)
+		assert.Equal(t, c.CloseReason(), CloseReason(""), "two checks in immediate succession must count as one")
 		time.Sleep(time.Second)
-		sweep(s)
-		assert.Equal(t, c.Ending(), ByHeader)
+		sweepAndWait(s)
+		assert.Equal(t, c.CloseReason(), HeaderTimeout)
 	})
 }
 
-// A process that stops while a client's new connection has not brought its request yet waits for it for a moment.
-func TestNewConnectionIsWaitedFor(t *testing.T) {
+// A process that is stopping waits for a moment for the request of a new connection.
+func TestStopWaitsForNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c, _ := pipe(t, &Limits{})
-		assert.Equal(t, s.Release(), 1)
-		assert.Equal(t, c.Ending(), Ending(""))
+		s, c, _ := newPipeConn(t, &Limits{})
+		assert.Equal(t, s.CloseUnused(), 1)
+		assert.Equal(t, c.CloseReason(), CloseReason(""))
 		time.Sleep(2 * time.Second)
-		s.Release()
+		s.CloseUnused()
 		synctest.Wait()
-		assert.Equal(t, c.Ending(), ByStop)
+		assert.Equal(t, c.CloseReason(), Stopped)
 	})
 }
 
-// What is still served when a stop's time is over is cut, and the handler can tell that it was not the client.
-func TestStopCutsInTheEnd(t *testing.T) {
+// Connections still in use at the deadline of a stop are closed, and the handler can tell that the client did not close
+// them.
+func TestStopClosesByForceAfterDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c, _ := pipe(t, &Limits{})
-		assert.Assert(t, c.begin())
+		s, c, _ := newPipeConn(t, &Limits{})
+		assert.Assert(t, c.startRequest())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
 		err := s.Stop(ctx)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, time.Since(began), time.Second)
-		assert.Assert(t, c.Ending().Ours())
+		assert.Assert(t, c.CloseReason().Local())
 	})
 }
 
-// Clients send requests at the very moment at which their connections are ended. Each is either answered, or nobody has
-// begun on it: a request that is run for a client whose connection the process itself has ended is the fault.
-func TestEndsAndRequestsRace(t *testing.T) {
+// Clients send requests at the moment at which their connections are closed. Each request is either answered or not
+// started: no request may be run for a client whose connection this process has closed.
+func TestCloseRacesWithRequests(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := New(l, func() Limits { return Limits{Idle: time.Nanosecond} })
@@ -120,7 +122,7 @@
 	for range clients {
 		running.Go(func() {
 			for range each {
-				answered.Add(askUntilEnded(l.Addr().String()))
+				answered.Add(requestUntilClosed(l.Addr().String()))
 			}
 		})
 	}
@@ -141,8 +143,9 @@
 	assert.Equal(t, begun.Load(), answered.Load())
 }
 
-// askUntilEnded sends request after request on one connection until it gets no answer, and counts the answers.
-func askUntilEnded(address string) (answers int64) {
+// requestUntilClosed sends requests on one connection until it receives no response, and returns the number of
+// responses.
+func requestUntilClosed(address string) (answers int64) {
 	c, err := net.Dial("tcp4", address)
 	if err != nil {
 		return 0
@@ -165,9 +168,10 @@
 	return answers
 }
 
-// A server that answers before it has read all closes its sending side first, and waits a while for what the client still
-// sends. Without that, the client's bytes meet a closed connection, whose reset may overtake the answer.
-func TestAnswerToAnUnreadBodyArrives(t *testing.T) {
+// A server that responds before it has read the whole request shuts down its sending side first, and waits a while for
+// what the client still sends. Otherwise the client's bytes arrive at a closed socket, and the resulting reset may
+// overtake the response.
+func TestResponseBeforeUnreadBodyArrives(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := New(l, func() Limits { return Limits{} })
@@ -187,30 +191,30 @@
 	all, err := io.ReadAll(c)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.HasPrefix(string(all), "HTTP/1.1 413 "), "%s", all)
-	assert.Assert(t, time.Since(began) < 400*time.Millisecond, "its end took %v", time.Since(began))
+	assert.Assert(t, time.Since(began) < 400*time.Millisecond, "closing took %v", time.Since(began))
 }
 
-// Connections are counted by what ended them.
-func TestEndsAreCounted(t *testing.T) {
+// Closed connections are counted by reason.
+func TestCloseReasonsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c, _ := pipe(t, &Limits{Idle: time.Second})
-		s.note(c, http.StateIdle)
+		s, c, _ := newPipeConn(t, &Limits{Idle: time.Second})
+		s.onStateChange(c, http.StateIdle)
 		time.Sleep(3 * time.Second)
-		sweep(s)
-		s.note(c, http.StateClosed)
-		assert.Equal(t, s.Ended(ByIdle), uint64(1))
-		assert.Equal(t, s.Ended(ByClient), uint64(0))
+		sweepAndWait(s)
+		s.onStateChange(c, http.StateClosed)
+		assert.Equal(t, s.Ended(IdleTimeout), uint64(1))
+		assert.Equal(t, s.Ended(ClientClosed), uint64(0))
 		assert.Equal(t, s.Counts(), Counts{})
 	})
 }
 
-// tardy is a listener whose Accept tells of its end late, as to a goroutine that stands still.
-type tardy struct {
+// lateErrorListener is a listener whose Accept returns an error late, as for a goroutine that is paused.
+type lateErrorListener struct {
 	net.Listener
 	release chan struct{}
 }
 
-func (l tardy) Accept() (net.Conn, error) {
+func (l lateErrorListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		<-l.release
@@ -218,13 +222,13 @@
 	return c, err
 }
 
-// A router without clients is told to stop. It closes its listener, and then ends its server, whose own loop has not
-// noticed yet: the server closed the listener a second time, got an error, and the process ended with it although it had
-// stopped in order. The second close must be none.
-func TestListenerIsClosedOnce(t *testing.T) {
+// A router without clients is told to stop. It closes its listener and then its server, whose accept loop has not
+// noticed yet: the server closed the listener again and got an error, with which the process exited although it had
+// stopped in order. The second close must do nothing.
+func TestListenerIsClosedOnlyOnce(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	slow := tardy{Listener: l, release: make(chan struct{})}
+	slow := lateErrorListener{Listener: l, release: make(chan struct{})}
 	s := New(slow, func() Limits { return Limits{} })
 	h := &http.Server{Handler: http.NotFoundHandler()}
 	s.Attach(h)
@@ -237,7 +241,7 @@
 	_, err = c.Read(make([]byte, 1))
 	assert.NilError(t, err)
 	assert.NilError(t, s.Close())
-	// The server waits for its loop, so the loop goes on a moment later.
+	// The server waits for its accept loop, so the loop is released a moment later.
 	time.AfterFunc(50*time.Millisecond, func() { close(slow.release) })
 	assert.NilError(t, h.Close())
 	assert.Assert(t, errors.Is(<-ended, http.ErrServerClosed))
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -116,6 +116,6 @@
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.open.Add(1)
 	defer f.open.Add(-1)
-	x := &exchange{front: f, w: w, r: r, began: time.Now(), conn: clientconn.Of(r.Context())}
+	x := &exchange{front: f, w: w, r: r, began: time.Now(), conn: clientconn.FromContext(r.Context())}
 	x.serve()
 }
--- a/io/entry/refuse.go
+++ b/io/entry/refuse.go
@@ -47,10 +47,10 @@
 	if x.conn == nil {
 		return ask.Gone
 	}
-	switch ending := x.conn.Ending(); {
-	case ending.Ours():
+	switch closeReason := x.conn.CloseReason(); {
+	case closeReason.Local():
 		return ask.ConnectionEnded
-	case ending != "":
+	case closeReason != "":
 		return ask.Gone
 	}
 	return ""
@@ -93,8 +93,8 @@
 	if p.Reason == ask.Full || p.Reason == ask.Reserved {
 		line = append(line, x.occupancyFields()...)
 	}
-	if x.conn != nil && x.conn.Ending() != "" {
-		line = append(line, x.conn.Fields()...)
+	if x.conn != nil && x.conn.CloseReason() != "" {
+		line = append(line, x.conn.LogFields()...)
 	}
 	_ = x.front.Logger.Log(line...)
 }
--- a/io/entry/server.go
+++ b/io/entry/server.go
@@ -137,7 +137,7 @@
 // to wait anyway, and a refusal tells a client more than a failed connection.
 func (s *Server) linger(ctx context.Context, atMost time.Duration) {
 	began := time.Now()
-	for s.conns.Release() > 0 && ctx.Err() == nil {
+	for s.conns.CloseUnused() > 0 && ctx.Err() == nil {
 		if s.conns.Counts().Serving() == 0 && time.Since(began) > atMost {
 			return
 		}
