--- a/io/entry/attempt.go
+++ b/io/entry/attempt.go
@@ -19,7 +19,7 @@
 // attempt is one attempt to have the request served by one endpoint.
 type attempt struct {
 	*dispatch.Attempt
-	response *http1.Answer
+	response *http1.Response
 	reply    ask.Reply
 	// ctx is done when the request's context is done or cancel is called. cancel may be called from any goroutine.
 	ctx    context.Context
@@ -71,7 +71,7 @@
 	a.response, err = x.front.Pool.Do(ctx, http1.Request{
 		Address: e.Address, Method: x.ask.Method, Target: x.ask.Target, Host: x.ask.Host, Header: h,
 		Body: x.body, HasBody: x.r.ContentLength != 0 || len(x.body) > 0, Deadline: until,
-		Ours: func(h http.Header) bool { return x.front.Endpoints.Answers(h, x.ask.ID) },
+		Matches: func(h http.Header) bool { return x.front.Endpoints.Answers(h, x.ask.ID) },
 	})
 	if err != nil {
 		return err
@@ -126,11 +126,11 @@
 // classifyError returns the verdict on the endpoint for an attempt without a response, and whether the request may have
 // run.
 func classifyError(err error) (v dispatch.Verdict, ran bool) {
-	var f *http1.Failure
+	var f *http1.AttemptError
 	switch {
 	case !errors.As(err, &f):
 		return dispatch.Broken, true
-	case !f.Sent:
+	case !f.MaybeSent:
 		return dispatch.Unreachable, false
 	case f.Timeout:
 		return dispatch.Silent, true
--- a/io/http1/doc.go
+++ b/io/http1/doc.go
@@ -1,2 +1,2 @@
-// Package http1 makes single attempts at endpoints over kept HTTP/1.1 connections, and never repeats one by itself.
+// Package http1 is an HTTP/1.1 client with persistent connections that sends each request once and never retries it.
 package http1
--- a/io/http1/exchange.go
+++ b/io/http1/exchange.go
@@ -12,113 +12,116 @@
 	"time"
 )
 
-// Request is one attempt as it is written to the endpoint.
+// Request is an HTTP request as written to the endpoint.
 type Request struct {
 	Address string
 	Method  string
-	// Target is path and query, unchanged from the client.
+	// Target is the path and query as received from the client.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody tells an empty body from none.
+	// HasBody distinguishes an empty body from none.
 	HasBody bool
-	// Deadline ends the attempt.
+	// Deadline is the deadline for the complete response. Response.SetDeadline changes it.
 	Deadline time.Time
-	// Ours tells whether an answer belongs to this request; others are skipped.
-	Ours func(h http.Header) bool
+	// Matches reports whether a response with this header belongs to the request. Others are skipped.
+	Matches func(h http.Header) bool
 }
 
-// Failure is an attempt without an answer.
-type Failure struct {
-	// Sent tells that bytes of the request may have reached the endpoint, so that it may have run.
-	Sent bool
-	// Timeout tells that the endpoint was silent until the deadline.
+// AttemptError is the error of a request without a response.
+type AttemptError struct {
+	// MaybeSent reports that bytes of the request may have reached the endpoint, so that it may have run.
+	MaybeSent bool
+	// Timeout reports that the connection could not be made in time or that the endpoint did not respond before the
+	// deadline.
 	Timeout bool
-	Cause   error
+	Err     error
 }
 
-func (f *Failure) Error() string {
-	if f.Sent {
-		return "attempt failed after it was sent: " + f.Cause.Error()
+func (e *AttemptError) Error() string {
+	if e.MaybeSent {
+		return "request failed after it may have been sent: " + e.Err.Error()
 	}
-	return "attempt failed before it was sent: " + f.Cause.Error()
+	return "request failed before it was sent: " + e.Err.Error()
 }
 
-// Unwrap is the cause.
-func (f *Failure) Unwrap() error { return f.Cause }
+// Unwrap returns the underlying error.
+func (e *AttemptError) Unwrap() error { return e.Err }
 
-// Answer is an answer whose body is still to be read. It must be closed.
-type Answer struct {
+// Response is a response whose body has not been read yet. It must be closed.
+type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 when it is not known before its end.
-	Length int64
-	pool   *Pool
-	conn   *conn
-	resp   *http.Response
-	sent   chan error
-	stop   func() bool
-	ended  bool
-	broken bool
+	// Length is the length of the body, or -1 if it is not known in advance.
+	Length      int64
+	pool        *Pool
+	conn        *conn
+	raw         *http.Response
+	writeResult chan error
+	stop        func() bool
+	complete    bool
+	readFailed  bool
 }
 
-// errStray says that too many answers on a connection belonged to other requests.
-var errStray = errors.New("the answers on the connection belong to other requests")
+// errUnmatched is returned if too many responses on a connection belonged to other requests.
+var errUnmatched = errors.New("responses on the connection belong to other requests")
 
-// strays is how many answers of other requests are skipped on a connection before it is given up.
-const strays = 2
+// maxUnmatched is the number of responses to other requests that are skipped before the connection is closed.
+const maxUnmatched = 2
 
-// Do sends the request once, and returns when the header of its answer has come. The error is always a *Failure.
-func (p *Pool) Do(ctx context.Context, r Request) (a *Answer, err error) {
-	c, err := p.take(ctx, r.Address)
+// Do sends the request once and returns when the header of the response has arrived. An error is always an
+// *AttemptError.
+func (p *Pool) Do(ctx context.Context, r Request) (a *Response, err error) {
+	c, err := p.get(ctx, r.Address)
 	if err != nil {
-		return nil, &Failure{Cause: err, Timeout: isTimeout(err)}
+		return nil, &AttemptError{Err: err, Timeout: isTimeout(err)}
 	}
 	_ = c.SetDeadline(r.Deadline)
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(longAgo) })
-	sent := send(c, r)
-	resp, err := receive(c, r) //nolint:bodyclose // Answer.Close ends the body with its connection.
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastDeadline) })
+	writeResult := writeRequest(c, r)
+	raw, err := readResponse(c, r) //nolint:bodyclose // Response.Close closes the body with its connection.
 	if err != nil {
 		stop()
 		_ = c.Close()
-		return nil, &Failure{Sent: true, Timeout: isTimeout(err), Cause: err}
+		return nil, &AttemptError{MaybeSent: true, Timeout: isTimeout(err), Err: err}
 	}
-	return &Answer{
-		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
-		pool: p, conn: c, resp: resp, sent: sent, stop: stop,
+	return &Response{
+		Status: raw.StatusCode, Header: raw.Header, Length: raw.ContentLength,
+		pool: p, conn: c, raw: raw, writeResult: writeResult, stop: stop,
 	}, nil
 }
 
-// longAgo as a deadline ends reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline, set as a deadline, makes reads and writes fail at once.
+var pastDeadline = time.Unix(1, 0)
 
 func isTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// inline is the size in bytes up to which a request is written before its answer is awaited: it fits into the send
-// buffer, so that the write cannot block against an endpoint that answers before it reads.
-const inline = 16 << 10
+// maxInlineWrite is the size in bytes up to which a request is written before the response is read. Such a request fits
+// into the send buffer, so that the write cannot block if the endpoint responds before it reads.
+const maxInlineWrite = 16 << 10
 
-// send writes the request in one piece; the channel tells when a large one has been written.
-func send(c *conn, r Request) (sent chan error) {
-	sent = make(chan error, 1)
-	data := encode(r)
-	if len(data) <= inline {
+// writeRequest writes the request in a single call. The channel receives the result, for large requests after
+// writeRequest has returned.
+func writeRequest(c *conn, r Request) (writeResult chan error) {
+	writeResult = make(chan error, 1)
+	data := encodeRequest(r)
+	if len(data) <= maxInlineWrite {
 		_, err := c.Write(data)
-		sent <- err
-		return sent
+		writeResult <- err
+		return writeResult
 	}
 	go func() {
 		_, err := c.Write(data)
-		sent <- err
+		writeResult <- err
 	}()
-	return sent
+	return writeResult
 }
 
-func encode(r Request) []byte {
+func encodeRequest(r Request) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
@@ -131,10 +134,10 @@
 	return b.Bytes()
 }
 
-// receive reads the header of the answer. Answers that belong to other requests come first when an endpoint answered
-// one of them twice; they are read to their end and dropped.
-func receive(c *conn, r Request) (resp *http.Response, err error) {
-	for range strays + 1 {
+// readResponse reads the header of the response. Responses to other requests may precede it if an endpoint has answered
+// one of them twice. They are read completely and dropped.
+func readResponse(c *conn, r Request) (resp *http.Response, err error) {
+	for range maxUnmatched + 1 {
 		resp, err = http.ReadResponse(c.r, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
@@ -142,76 +145,77 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if r.Ours(resp.Header) {
+		if r.Matches(resp.Header) {
 			return resp, nil
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, errStray
+			return nil, errUnmatched
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
 		if err != nil {
 			return nil, err
 		}
 	}
-	return nil, errStray
+	return nil, errUnmatched
 }
 
-// Read reads the body; io.EOF comes only when it is whole.
-func (a *Answer) Read(p []byte) (n int, err error) {
-	n, err = a.resp.Body.Read(p)
+// Read reads the body. It returns io.EOF only if the body is complete.
+func (a *Response) Read(p []byte) (n int, err error) {
+	n, err = a.raw.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		a.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
-		a.broken = true
+		a.readFailed = true
 	}
 	return n, err
 }
 
-// ReadAll reads the whole body up to limit bytes.
-func (a *Answer) ReadAll(limit int64) (body []byte, err error) {
+// ReadAll reads the whole body. It fails if the body is larger than limit bytes.
+func (a *Response) ReadAll(limit int64) (body []byte, err error) {
 	body, err = io.ReadAll(io.LimitReader(a, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		return nil, fmt.Errorf("the answer is larger than %d bytes", limit)
+		return nil, fmt.Errorf("response is larger than %d bytes", limit)
 	}
 	return body, err
 }
 
-// SetDeadline moves the end of the attempt.
-func (a *Answer) SetDeadline(t time.Time) { _ = a.conn.SetReadDeadline(t) }
+// SetDeadline changes the deadline for reading the response.
+func (a *Response) SetDeadline(t time.Time) { _ = a.conn.SetReadDeadline(t) }
 
-// Close keeps the connection when the answer was read to its end and nothing is left over on it, and ends it otherwise:
-// what came after an answer, or is still to come of one that was given up, must not meet the next request.
-func (a *Answer) Close() {
+// Close returns the connection to the pool if the response was read completely and no further bytes have arrived, and
+// closes it otherwise: the next request must not receive bytes that follow the response, or those of a response that
+// was not read to its end.
+func (a *Response) Close() {
 	if a.conn == nil {
 		return
 	}
 	c := a.conn
 	a.conn = nil
-	if !a.stop() || !a.ended || a.broken || a.resp.Close || !a.framed() || !a.written() || c.r.Buffered() > 0 {
+	if !a.stop() || !a.complete || a.readFailed || a.raw.Close || !a.framed() || !a.requestWritten() || c.r.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	a.pool.put(c, keepFor(a.resp.Header))
+	a.pool.put(c, keepAliveTimeout(a.raw.Header))
 }
 
-func (a *Answer) framed() bool { return a.resp.ContentLength >= 0 || len(a.resp.TransferEncoding) > 0 }
+func (a *Response) framed() bool { return a.raw.ContentLength >= 0 || len(a.raw.TransferEncoding) > 0 }
 
-// written tells whether the whole request was sent. An endpoint may answer before it has read a long body and reads
-// the rest later: another request on the connection would be taken for it.
-func (a *Answer) written() bool {
+// requestWritten reports whether the whole request was sent. An endpoint may respond before it has read a long body and
+// read the rest later: it would take the next request on the connection for a part of that body.
+func (a *Response) requestWritten() bool {
 	select {
-	case err := <-a.sent:
+	case err := <-a.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// keepFor is how long the endpoint keeps an idle connection, 0 when it does not say.
-func keepFor(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the endpoint keeps an idle connection, or 0 if it does not say.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, is := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !is {
--- a/io/http1/pool.go
+++ b/io/http1/pool.go
@@ -13,11 +13,11 @@
 	"savoryfall/core/annotate"
 )
 
-// Pool keeps idle connections to endpoints by address; the zero value is empty.
+// Pool keeps idle connections to endpoints, by address. The zero value is an empty pool that is ready to use.
 //
-// net/http's own transport is not used: it resends some requests on a kept connection that turns out dead, it hides
-// whether bytes of a request were sent, and it may hand an answer that came late on a kept connection to the next
-// request.
+// The Transport of net/http is not used: it resends some requests if a persistent connection turns out to be closed, it
+// does not tell whether bytes of a request were sent, and it may return a response that arrives late on a persistent
+// connection to the next request.
 type Pool struct {
 	connect func(ctx context.Context, address string) (net.Conn, error)
 	mu      sync.Mutex
@@ -26,47 +26,50 @@
 }
 
 const (
-	// dialTimeout bounds the making of a connection: within a region it takes some milliseconds, and the endpoint
-	// that needs longer than this has another one beside it.
+	// dialTimeout limits the time to open a connection. Within a region this takes a few milliseconds, and instead of
+	// an endpoint that needs longer than this, another one can be used.
 	dialTimeout = 400 * time.Millisecond
-	// sendTimeout is when bytes that are not acknowledged end a connection: a cut leaves no other sign.
-	sendTimeout = 1500 * time.Millisecond
-	// idleMax is how long a connection is kept when the endpoint does not say, idleMargin how much sooner than the
-	// endpoint says: a request that crosses the endpoint's close is lost.
-	idleMax    = 4 * time.Second
-	idleMargin = time.Second
-	// idleAtMost bounds the idle connections to one endpoint.
-	idleAtMost = 32
+	// userTimeout is the time after which a connection with unacknowledged bytes is closed (TCP_USER_TIMEOUT): a
+	// network partition gives no other sign.
+	userTimeout = 1500 * time.Millisecond
+	// maxIdleTime is how long an idle connection is kept at most. idleMargin is how much earlier than the endpoint it
+	// is closed if the endpoint sends a timeout: a request that is sent while the endpoint closes the connection is
+	// lost.
+	maxIdleTime = 4 * time.Second
+	idleMargin  = time.Second
+	// maxIdleConns limits the idle connections to one endpoint.
+	maxIdleConns = 32
 )
 
-// keepAlive finds out within some seconds that the other side has gone silent.
+// keepAlive detects within a few seconds that the peer no longer responds.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// NewPool makes a pool that connects by the function, as tests without a network do.
+// NewPool creates a pool that opens connections with the given function, for tests without a network.
 func NewPool(connect func(ctx context.Context, address string) (net.Conn, error)) *Pool {
 	return &Pool{connect: connect}
 }
 
-// conn is one connection and what it has read ahead.
+// conn is a connection with its read buffer.
 type conn struct {
 	net.Conn
 	r       *bufio.Reader
 	address string
 	reused  bool
-	until   time.Time
+	expires time.Time
 }
 
-// readAhead is the size of the read buffer in bytes: an event is some hundred, an answer's header below a thousand.
-const readAhead = 4 << 10
+// readBufferSize is the size of the read buffer in bytes. An event has a few hundred bytes, and the header of a
+// response less than a thousand.
+const readBufferSize = 4 << 10
 
-// take returns a kept connection that shows no sign of having ended, or a new one.
-func (p *Pool) take(ctx context.Context, address string) (c *conn, err error) {
+// get returns an idle connection that shows no sign of having been closed, or a new one.
+func (p *Pool) get(ctx context.Context, address string) (c *conn, err error) {
 	for {
 		c = p.pop(address)
 		if c == nil {
 			return p.dial(ctx, address)
 		}
-		if time.Now().Before(c.until) && c.quiet() {
+		if time.Now().Before(c.expires) && c.usable() {
 			c.reused = true
 			return c, nil
 		}
@@ -99,17 +102,17 @@
 	p.mu.Lock()
 	p.dials++
 	p.mu.Unlock()
-	return &conn{Conn: raw, r: bufio.NewReaderSize(raw, readAhead), address: address}, nil
+	return &conn{Conn: raw, r: bufio.NewReaderSize(raw, readBufferSize), address: address}, nil
 }
 
 func connectTCP(ctx context.Context, address string) (c net.Conn, err error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: limitSending}
+	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-func limitSending(_, _ string, raw syscall.RawConn) (err error) {
+func setUserTimeout(_, _ string, raw syscall.RawConn) (err error) {
 	failed := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(sendTimeout/time.Millisecond))
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
 	if failed != nil {
 		return failed
@@ -117,8 +120,8 @@
 	return err
 }
 
-// quiet tells whether nothing has come on a kept connection: an end, or bytes that belong to no request.
-func (c *conn) quiet() (ok bool) {
+// usable reports whether an idle connection is still open and has received no bytes, which would belong to no request.
+func (c *conn) usable() (ok bool) {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -139,23 +142,23 @@
 	return ok && err == nil
 }
 
-// put keeps a connection for keep, or as long as is usual when keep is 0.
+// put returns a connection to the pool. keep is how long the endpoint keeps it, or 0 if it does not say.
 func (p *Pool) put(c *conn, keep time.Duration) {
 	if keep > 0 {
-		keep = min(keep-idleMargin, idleMax)
+		keep = min(keep-idleMargin, maxIdleTime)
 	} else {
-		keep = idleMax
+		keep = maxIdleTime
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if keep <= 0 || len(p.idle[c.address]) >= idleAtMost {
+	if keep <= 0 || len(p.idle[c.address]) >= maxIdleConns {
 		_ = c.Close()
 		return
 	}
 	if p.idle == nil {
 		p.idle = map[string][]*conn{}
 	}
-	c.until = time.Now().Add(keep)
+	c.expires = time.Now().Add(keep)
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
@@ -166,7 +169,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
@@ -179,7 +182,7 @@
 	}
 }
 
-// Dials is how many connections were made.
+// Dials returns the number of connections opened.
 func (p *Pool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
