--- a/io/stdout/log.go
+++ b/io/stdout/log.go
@@ -16,48 +16,48 @@
 	"savoryfall/core/field"
 )
 
-// Log is a logger with a bounded rate and queue. What does not fit is dropped and counted: a reader of the logs that
-// stalls must cost lines, never a request.
+// Log is a logger with a limited rate and a bounded queue. Lines that exceed either are dropped and counted: if the
+// reader of the logs stalls, lines may be lost but no request may be delayed.
 type Log struct {
-	lines   chan []byte
-	budget  *rate.Limiter
-	served  *rate.Limiter
-	w       io.Writer
-	mu      sync.Mutex
-	dropped int
-	buf     bytes.Buffer
-	encoder log.Logger
-	running background.Group
-	cancel  context.CancelFunc
+	lines         chan []byte
+	limiter       *rate.Limiter
+	servedLimiter *rate.Limiter
+	w             io.Writer
+	mu            sync.Mutex
+	dropped       int
+	buf           bytes.Buffer
+	encoder       log.Logger
+	running       background.Group
+	cancel        context.CancelFunc
 }
 
 const (
-	// linesPerSecond and burst bound the volume: at some 250 bytes a line this is 12 KB/s at most, and processor time
-	// well below a hundredth of a core.
+	// linesPerSecond and burst limit the volume. At about 250 bytes a line this is 12 KB/s at most, and takes well
+	// below a hundredth of a processor core.
 	linesPerSecond = 50
 	burst          = 150
-	// servedPerSecond bounds the lines on requests that were served after all, so that those on failures and on what
-	// the router believes have most of the budget left.
+	// servedPerSecond limits the lines about requests that were served after a retry, so that most of the rate is left
+	// for lines about failures and about what the router knows of other systems.
 	servedPerSecond = 10
-	// queued is how many lines wait for a writer that stalls.
-	queued = 512
-	// reportEvery is how often the number of dropped lines is told.
-	reportEvery = 5 * time.Second
+	// queueSize is the number of lines that can be queued while the writer is blocked.
+	queueSize = 512
+	// reportPeriod is how often the number of dropped lines is logged.
+	reportPeriod = 5 * time.Second
 )
 
-// New makes a logger that writes to w once it is started.
+// New creates a logger that writes to w once it is started.
 func New(w io.Writer) *Log {
 	l := &Log{
-		lines: make(chan []byte, queued), w: w,
-		budget: rate.NewLimiter(linesPerSecond, burst), served: rate.NewLimiter(servedPerSecond, servedPerSecond),
+		lines: make(chan []byte, queueSize), w: w,
+		limiter: rate.NewLimiter(linesPerSecond, burst), servedLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}
 	l.encoder = log.NewLogfmtLogger(&l.buf)
 	return l
 }
 
-// Log queues one line, or drops it when the rate or the queue is used up.
+// Log queues one line, or drops it if the rate is exceeded or the queue is full.
 func (l *Log) Log(keyvals ...any) error {
-	if about(keyvals) == event.RequestServed && !l.served.Allow() || !l.budget.Allow() {
+	if eventName(keyvals) == event.RequestServed && !l.servedLimiter.Allow() || !l.limiter.Allow() {
 		l.drop()
 		return nil
 	}
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// about is the event that the line tells of.
-func about(keyvals []any) (name event.Name) {
+// eventName returns the event of the line, or "" if it has none.
+func eventName(keyvals []any) (name event.Name) {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if keyvals[i] == field.Event {
 			name, _ = keyvals[i+1].(event.Name)
@@ -104,11 +104,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
 	l.running.Go(func() { l.write(ctx) })
-	l.running.Go(func() { background.Every(ctx, reportEvery, l.report) })
+	l.running.Go(func() { background.Every(ctx, reportPeriod, l.reportDropped) })
 	return nil
 }
 
-// Stop writes what is queued, as far as the writer takes it before the context ends.
+// Stop writes the queued lines, as far as the writer accepts them before the context is done.
 func (l *Log) Stop(ctx context.Context) error {
 	l.cancel()
 	done := make(chan struct{})
@@ -146,7 +146,7 @@
 	}
 }
 
-func (l *Log) report(time.Time) {
+func (l *Log) reportDropped(time.Time) {
 	l.mu.Lock()
 	n := l.dropped
 	l.dropped = 0
--- a/io/stdout/log_test.go
+++ b/io/stdout/log_test.go
@@ -33,7 +33,7 @@
 	return b.b.String()
 }
 
-func TestLines(t *testing.T) {
+func TestLogWritesLogfmt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b buffer
 		l := stdout.New(&b)
@@ -44,8 +44,9 @@
 	})
 }
 
-// A burst of events, as when everything fails at once, costs lines and not the writer's time; how many is told.
-func TestBurstIsBoundedAndCounted(t *testing.T) {
+// A burst of events, as when everything fails at once, must drop lines instead of blocking the caller. The number of
+// dropped lines is logged.
+func TestBurstIsLimitedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b buffer
 		l := stdout.New(&b)
@@ -60,8 +61,8 @@
 	})
 }
 
-// In a surge of requests that are served at the second try, a failure still has its line.
-func TestFailuresGoFirst(t *testing.T) {
+// Many lines about requests served at the second attempt must not displace the line about a failure.
+func TestServedLinesLeaveRoomForFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b buffer
 		l := stdout.New(&b)
@@ -79,18 +80,18 @@
 	})
 }
 
-// stalled never takes a line, like a pipe that nobody reads.
-type stalled struct{ forever chan struct{} }
+// blockedWriter blocks until release is closed, like a pipe that nobody reads.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stalled) Write([]byte) (int, error) {
-	<-s.forever
+func (s blockedWriter) Write([]byte) (int, error) {
+	<-s.release
 	return 0, nil
 }
 
-// The reader of the logs has stopped reading: requests must not wait for it, and neither must the process's end.
-func TestFullPipeBlocksNobody(t *testing.T) {
+// When the reader of the logs stops reading, neither requests nor the stop of the process may wait for it.
+func TestBlockedWriterDelaysNeitherLogNorStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := stalled{forever: make(chan struct{})}
+		w := blockedWriter{release: make(chan struct{})}
 		l := stdout.New(w)
 		assert.NilError(t, l.Start(context.Background()))
 		began := time.Now()
@@ -103,6 +104,6 @@
 		defer cancel()
 		assert.NilError(t, l.Stop(ctx))
 		assert.Equal(t, time.Since(began), 3*time.Second)
-		close(w.forever)
+		close(w.release)
 	})
 }
