--- a/io/platformlog/doc.go
+++ b/io/platformlog/doc.go
@@ -1,2 +1,2 @@
-// Package platformlog speaks to the platform's append-only log service over HTTP.
+// Package platformlog is an HTTP client of the platform's append-only log service.
 package platformlog
--- a/io/platformlog/log.go
+++ b/io/platformlog/log.go
@@ -14,16 +14,17 @@
 	"savoryfall/core/annotate"
 )
 
-// maxAnswer bounds what one read may bring, so that a faulty service cannot fill the memory.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the size of a response, so that a faulty service cannot exhaust the memory.
+const maxResponseBytes = 64 << 20
 
-// Log is a client of the log service; an append is never repeated by it, because the first may have taken effect.
+// Log is a client of the log service. It never retries an append, because the first one may have taken effect.
 type Log struct {
 	base   string
 	client *http.Client
 }
 
-// New makes a client of the service at the base URL; client carries the transport that counts and bounds.
+// New creates a client of the service at the base URL. The transport of client is expected to measure and limit the
+// traffic.
 func New(base string, client *http.Client) *Log {
 	return &Log{base: base, client: client}
 }
@@ -35,21 +36,21 @@
 	Data   []byte    `json:"data"`
 }
 
-// Page is a run of records; First is the oldest offset still kept and Next the one after the newest.
+// Page is a sequence of records. First is the oldest offset that is still retained, and Next the one after the newest.
 type Page struct {
 	First   int64    `json:"first"`
 	Next    int64    `json:"next"`
 	Records []Record `json:"records"`
 }
 
-// TrimmedError says that records from Want on are no longer kept.
+// TrimmedError reports that the records from Want on are no longer all retained. First is the oldest that is.
 type TrimmedError struct{ Want, First int64 }
 
 func (e TrimmedError) Error() string {
-	return fmt.Sprintf("the log keeps records from offset %d on, want %d", e.First, e.Want)
+	return fmt.Sprintf("log records before offset %d have been trimmed, want %d", e.First, e.Want)
 }
 
-// Append adds a record; after any error but a refusal it is unknown whether the record is on the stream.
+// Append adds a record. After an error other than a StatusError it is unknown whether the record was added.
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (offset int64, err error) {
 	defer annotate.Error(&err, "append to stream %s", stream)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, l.url(stream, nil), bytes.NewReader(data))
@@ -58,14 +59,14 @@
 	}
 	r.GetBody = nil
 	r.Header.Set("Content-Type", "application/octet-stream")
-	var answer struct {
+	var result struct {
 		Offset int64 `json:"offset"`
 	}
-	err = l.do(r, &answer)
-	return answer.Offset, err
+	err = l.do(r, &result)
+	return result.Offset, err
 }
 
-// Read brings records from the offset on, and waits up to wait for one when there is none yet.
+// Read reads up to max records from the offset on. If there is none, it waits for one for up to wait.
 func (l *Log) Read(ctx context.Context, stream string, from int64, max int, wait time.Duration) (p Page, err error) {
 	defer annotate.Error(&err, "read stream %s from %d", stream, from)
 	q := url.Values{}
@@ -91,23 +92,23 @@
 	return u + "?" + q.Encode()
 }
 
-func (l *Log) do(r *http.Request, answer any) (err error) {
+func (l *Log) do(r *http.Request, result any) (err error) {
 	resp, err := l.client.Do(r)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
 		return StatusError{Status: resp.StatusCode, Text: string(bytes.TrimSpace(body))}
 	}
-	return json.Unmarshal(body, answer)
+	return json.Unmarshal(body, result)
 }
 
-// StatusError is an answer of the service other than 200; the service promises that it did nothing.
+// StatusError reports a response with a status other than 200. The service guarantees that the request had no effect.
 type StatusError struct {
 	Status int
 	Text   string
