--- a/io/peer/agent.go
+++ b/io/peer/agent.go
@@ -21,7 +21,7 @@
 	"savoryfall/io/meter"
 )
 
-// Configuration is what the agent needs of the follower.
+// Configuration is the replicated configuration that the agent reads and updates.
 type Configuration interface {
 	Current() *inforce.Configuration
 	Ready() bool
@@ -30,18 +30,18 @@
 	Listen(listener func(*inforce.Configuration))
 }
 
-// Prober looks at one endpoint now, because a peer has found something.
+// Prober probes an endpoint immediately, after a peer has reported a change of its state.
 type Prober interface {
 	Look(endpoint string)
 }
 
-// Claims makes claims on behalf of other routers.
+// Claims claims idempotency keys on behalf of other routers.
 type Claims interface {
 	ClaimHere(ctx context.Context, c claim.Request) (g claim.Grant, err error)
 	SettleHere(ctx context.Context, g claim.Grant, result claim.Result)
 }
 
-// Parts are the services that the agent works with.
+// Parts are the dependencies and settings of an Agent.
 type Parts struct {
 	Members       *membership.Table
 	Ledger        *ledger.Ledger
@@ -57,74 +57,75 @@
 	Budget        int64
 }
 
-// Agent exchanges heartbeats, load digests, marks and news of the configuration with the other routers.
+// Agent exchanges heartbeats, load digests, leaving marks and configuration offsets with the other routers.
 type Agent struct {
 	Parts
-	listener net.Listener
-	mu       sync.Mutex
-	conns    map[string]*connection
-	open     map[*connection]bool
-	killed   bool
-	accepted map[net.Conn]bool
-	findings map[string]*finding
-	marks    map[Mark]int
-	lean     bool
-	round    int
-	last     uint64
-	spent    float64
-	cursors  map[string]uint64
-	cut      func(name string) bool
-	urgent   chan struct{}
-	cancel   context.CancelFunc
-	running  background.Group
-	leaving  bool
-	serving  background.Group
+	listener      net.Listener
+	mu            sync.Mutex
+	connByPeer    map[string]*connection
+	openConns     map[*connection]bool
+	closed        bool
+	acceptedConns map[net.Conn]bool
+	findings      map[string]*pendingFinding
+	marks         map[Mark]int
+	overBudget    bool
+	round         int
+	lastBytes     uint64
+	byteRate      float64
+	spillCursors  map[string]uint64
+	partitioned   func(name string) bool
+	exchangeNow   chan struct{}
+	cancel        context.CancelFunc
+	running       background.Group
+	draining      bool
+	connHandlers  background.Group
 }
 
 const (
-	// meshSize is up to how many members all pairs exchange in every period; larger fleets take a few at random.
-	meshSize   = 8
-	fanout     = 3
-	spreadings = 4
-	// findingPeriods is for how many periods a finding is told to those that have not been told it: some exchanges with
-	// each may fail, and members are met late that started just before.
-	findingPeriods = 20
-	maxRumours     = 16
-	maxNews        = 8
-	maxSpills      = 64
-	recordsMax     = 200
-	// spentSmoothing lets a burst of ten periods pass.
-	spentSmoothing = 0.1
+	// fullMeshSize is the number of peers from which on a router no longer exchanges with every peer in every period,
+	// but with a few random ones.
+	fullMeshSize = 8
+	fanout       = 3
+	markRepeats  = 4
+	// findingLifetimePeriods is for how many periods a finding is sent to peers that have not received it: some
+	// exchanges with a peer may fail, and routers that have just started may discover each other late.
+	findingLifetimePeriods = 20
+	maxUpdates             = 16
+	maxEndpointNotices     = 8
+	maxSpills              = 64
+	maxRecords             = 200
+	// byteRateSmoothing averages over about ten periods, so that a burst of that length is tolerated.
+	byteRateSmoothing = 0.1
 )
 
-// New takes the address for peers at once.
+// New listens on the address immediately, so that Address is known before Start.
 func New(address string, p Parts) (a *Agent, err error) {
 	defer annotate.Error(&err, "listen for peers on %s", address)
 	a = &Agent{
-		Parts: p, conns: map[string]*connection{}, open: map[*connection]bool{}, accepted: map[net.Conn]bool{},
-		findings: map[string]*finding{}, marks: map[Mark]int{},
-		cursors: map[string]uint64{}, urgent: make(chan struct{}, 1),
+		Parts: p, connByPeer: map[string]*connection{}, openConns: map[*connection]bool{}, acceptedConns: map[net.Conn]bool{},
+		findings: map[string]*pendingFinding{}, marks: map[Mark]int{},
+		spillCursors: map[string]uint64{}, exchangeNow: make(chan struct{}, 1),
 	}
 	a.listener, err = net.Listen("tcp", address)
 	return a, err
 }
 
-// Address is where peers reach this router.
+// Address returns the address on which peers reach this router.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Start serves peers and exchanges with them in the background until Stop.
+// Start serves peers and exchanges state with them in the background until Stop or Kill.
 func (a *Agent) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
 	a.Configuration.Listen(func(*inforce.Configuration) {
-		a.running.Go(func() { a.announce(ctx) })
+		a.running.Go(func() { a.announceConfiguration(ctx) })
 	})
 	a.running.Go(a.serve)
 	a.running.Go(func() { a.loop(ctx) })
 	return nil
 }
 
-// Stop tells the peers that this router leaves, answers what they have asked, and ends.
+// Stop announces to the peers that this router is leaving, answers their pending calls, and closes all connections.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.Members.Leave()
 	a.exchangeAll(ctx, a.peers())
@@ -133,21 +134,21 @@
 	return nil
 }
 
-// Kill ends without a word, as the loss of the VM would.
+// Kill closes all connections without announcing it, as on the loss of the VM.
 func (a *Agent) Kill() {
 	a.cancel()
 	_ = a.listener.Close()
 	a.mu.Lock()
-	a.killed = true
-	for c := range a.open {
-		a.end(c)
+	a.closed = true
+	for c := range a.openConns {
+		a.closeConnection(c)
 	}
-	for c := range a.accepted {
+	for c := range a.acceptedConns {
 		_ = c.Close()
 	}
 	a.mu.Unlock()
 	a.running.Stop()
-	a.serving.Stop()
+	a.connHandlers.Stop()
 }
 
 func (a *Agent) loop(ctx context.Context) {
@@ -158,45 +159,47 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			a.step(ctx)
-		case <-a.urgent:
+			a.runPeriod(ctx)
+		case <-a.exchangeNow:
 			peers := a.peers()
 			rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-			a.exchangeAll(ctx, peers[:min(meshSize, len(peers))])
+			a.exchangeAll(ctx, peers[:min(fullMeshSize, len(peers))])
 		}
 	}
 }
 
-func (a *Agent) step(ctx context.Context) {
+func (a *Agent) runPeriod(ctx context.Context) {
 	now := time.Now()
 	for _, name := range a.Members.Sweep(now) {
 		a.Ledger.Forget(name)
 		_ = a.Logger.Log("event", "memberDead", "member", name)
 	}
 	a.Ledger.Expire(now)
-	a.weigh()
+	a.updateBudget()
 	a.exchangeAll(ctx, a.targets(now))
 }
 
-// weigh compares the control traffic with its budget. When it is over, load digests are sent only every other
-// period: without them placement gets worse, without heartbeats, marks and news of the configuration promises break.
-func (a *Agent) weigh() {
-	var sum uint64
+// updateBudget compares the rate of control traffic with its budget. Over budget, load digests are sent only in every
+// other period: omitting them makes placement worse, while omitting heartbeats, leaving marks or configuration offsets
+// would break guarantees.
+func (a *Agent) updateBudget() {
+	var total uint64
 	for _, k := range meter.Kinds {
 		sent, received := a.Meter.Bytes(k)
-		sum += sent + received
+		total += sent + received
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.round > 0 {
-		spent := float64(sum-a.last) / a.Period.Seconds()
-		a.spent += (spent - a.spent) * spentSmoothing
+		byteRate := float64(total-a.lastBytes) / a.Period.Seconds()
+		a.byteRate += (byteRate - a.byteRate) * byteRateSmoothing
 	}
-	a.lean = a.spent > float64(a.Budget)
-	a.last = sum
+	a.overBudget = a.byteRate > float64(a.Budget)
+	a.lastBytes = total
 	a.round++
 }
 
+// peers returns the members that are neither dead nor leaving.
 func (a *Agent) peers() (peers []membership.Peer) {
 	for _, p := range a.Members.Peers() {
 		if p.State != membership.Dead.String() && p.State != membership.Leaving.String() {
@@ -206,13 +209,14 @@
 	return peers
 }
 
-// targets are whom to call in this period. In a small fleet the lower name of each pair calls, and the other one
-// only when it has heard nothing; in a large one each calls a few at random.
+// targets returns the peers to call in this period. In a small fleet, the router with the lower name of each pair
+// calls, and the other one only if it has not heard from its peer for one and a half periods. In a large fleet, each
+// router calls a few random peers.
 func (a *Agent) targets(now time.Time) (targets []membership.Peer) {
 	peers := a.peers()
-	if len(peers) >= meshSize {
+	if len(peers) >= fullMeshSize {
 		rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-		return append(peers[:fanout], a.dead()...)
+		return append(peers[:fanout], a.deadTargets()...)
 	}
 	self := a.Members.Self().Name
 	for _, p := range peers {
@@ -220,17 +224,19 @@
 			targets = append(targets, p)
 		}
 	}
-	return append(targets, a.dead()...)
+	return append(targets, a.deadTargets()...)
 }
 
-const deadRetry = 8
+// deadRetryRounds is the number of periods between two attempts to reach a dead member.
+const deadRetryRounds = 8
 
-// dead picks now and then a dead member to try, so that two sides of a healed cut find each other again.
-func (a *Agent) dead() (targets []membership.Peer) {
+// deadTargets returns one random dead member every few periods, so that the two sides of a healed network partition
+// discover each other again.
+func (a *Agent) deadTargets() (targets []membership.Peer) {
 	a.mu.Lock()
 	round := a.round
 	a.mu.Unlock()
-	if round%deadRetry != 0 {
+	if round%deadRetryRounds != 0 {
 		return nil
 	}
 	for _, p := range a.Members.Peers() {
@@ -246,41 +252,41 @@
 }
 
 func (a *Agent) exchangeAll(ctx context.Context, targets []membership.Peer) {
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, p := range targets {
-		all.Go(func() { a.exchange(ctx, p) })
+		group.Go(func() { a.exchange(ctx, p) })
 	}
-	all.Wait()
+	group.Wait()
 }
 
 func (a *Agent) exchange(ctx context.Context, p membership.Peer) {
-	var reply Message
-	m := a.message(p.Name)
+	var reply GossipMessage
+	m := a.newMessage(p.Name)
 	err := a.call(ctx, p, "Meet", m, &reply)
 	if err == nil {
-		a.told(p.Name, m.Findings)
-		a.take(&reply)
-		a.catchUp(ctx, p, reply.Next)
+		a.delivered(p.Name, m.Findings)
+		a.receive(&reply)
+		a.fetchRecords(ctx, p, reply.Next)
 		return
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	a.probeThrough(ctx, p)
+	a.probeIndirectly(ctx, p)
 }
 
-// probeThrough asks two others to try a member that did not answer, so that a cut between it and this router alone
-// does not make it look dead.
-func (a *Agent) probeThrough(ctx context.Context, target membership.Peer) {
+// probeIndirectly asks up to two other routers to call a member that did not answer, so that a member which only this
+// router cannot reach is not declared dead.
+func (a *Agent) probeIndirectly(ctx context.Context, target membership.Peer) {
 	asked := 0
 	for _, helper := range a.peers() {
 		if helper.Name == target.Name || asked == 2 {
 			continue
 		}
 		asked++
-		var answer Answer
-		err := a.call(ctx, helper, "Try", Probe{Target: target.Name}, &answer)
-		if err == nil && answer.Heard {
+		var reply TryReply
+		err := a.call(ctx, helper, "Try", TryRequest{Target: target.Name}, &reply)
+		if err == nil && reply.Heard {
 			a.Members.Vouched(target.Name, time.Now())
 			return
 		}
@@ -288,24 +294,25 @@
 	a.Members.Missed(target.Name, time.Now())
 }
 
-// message says what there is to say; the caller of an exchange and the one that is called send the same.
-func (a *Agent) message(to string) *Message {
+// newMessage collects the state to send to a peer; the request and the reply of an exchange have the same form.
+func (a *Agent) newMessage(to string) *GossipMessage {
 	c := a.Configuration.Current()
-	m := &Message{Self: a.Members.Self(), Next: c.Next(), Rumours: a.Members.Gossip(maxRumours)}
+	m := &GossipMessage{Self: a.Members.Self(), Next: c.Next(), Rumours: a.Members.Gossip(maxUpdates)}
 	m.Self.Address, m.Self.FailureDomain = "", ""
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.lean || a.round%2 == 0 {
+	if !a.overBudget || a.round%2 == 0 {
 		m.Shape, m.Load = a.Ledger.Digest()
-		m.Spills, a.cursors[to] = a.Spills.Since(a.cursors[to], maxSpills)
+		m.Spills, a.spillCursors[to] = a.Spills.Since(a.spillCursors[to], maxSpills)
 	}
 	a.addMarks(m)
 	a.addFindings(m, to, time.Now())
 	return m
 }
 
-// take believes what a peer says: of itself, of the load it puts on endpoints, and of who is leaving.
-func (a *Agent) take(m *Message) {
+// receive applies a peer's message: its own state, the load it puts on endpoints, and what it reports of members and
+// endpoints.
+func (a *Agent) receive(m *GossipMessage) {
 	now := time.Now()
 	a.Members.Heard(m.Self, now)
 	a.Members.Rumours(m.Rumours, now)
@@ -314,34 +321,35 @@
 	}
 	a.Spills.Take(m.Spills, now)
 	for _, mark := range m.Marks {
-		a.takeMark(mark)
+		a.receiveMark(mark)
 	}
 	for _, f := range m.Findings {
-		a.takeFinding(f, now)
+		a.receiveFinding(f, now)
 	}
 }
 
-// announce tells a few peers at once that a record of the configuration has come, without waiting for the period.
-func (a *Agent) announce(ctx context.Context) {
+// announceConfiguration notifies a few random peers of a new configuration record at once, without waiting for the
+// next period.
+func (a *Agent) announceConfiguration(ctx context.Context) {
 	next := a.Configuration.Current().Next()
 	peers := a.peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, p := range peers[:min(fanout, len(peers))] {
-		var none Nothing
-		_ = a.call(ctx, p, "News", News{From: a.Members.Self().Name, Next: next}, &none)
+		var reply Empty
+		_ = a.call(ctx, p, "News", News{From: a.Members.Self().Name, Next: next}, &reply)
 	}
 }
 
-// catchUp brings records of the configuration from a peer that has more.
-func (a *Agent) catchUp(ctx context.Context, p membership.Peer, next int64) {
+// fetchRecords fetches configuration records from a peer that has newer ones.
+func (a *Agent) fetchRecords(ctx context.Context, p membership.Peer, next int64) {
 	for a.Configuration.Ready() && a.Configuration.Current().Next() < next {
 		from := a.Configuration.Current().Next()
-		var got Records
-		err := a.call(ctx, p, "Records", RecordsRequest{From: from, Max: recordsMax}, &got)
-		if err != nil || len(got.Records) == 0 {
+		var reply Records
+		err := a.call(ctx, p, "Records", RecordsRequest{From: from, Max: maxRecords}, &reply)
+		if err != nil || len(reply.Records) == 0 {
 			return
 		}
-		for i, data := range got.Records {
+		for i, data := range reply.Records {
 			a.Configuration.Offer(from+int64(i), data)
 		}
 		if a.Configuration.Current().Next() == from {
--- a/io/peer/agent_test.go
+++ b/io/peer/agent_test.go
@@ -22,46 +22,47 @@
 	"savoryfall/io/meter"
 )
 
-// nothingNew is a follower that never learns anything.
-type nothingNew struct{ c inforce.Configuration }
+// fixedConfiguration is a Configuration that never changes.
+type fixedConfiguration struct{ c inforce.Configuration }
 
-func (n *nothingNew) Current() *inforce.Configuration     { return &n.c }
-func (n *nothingNew) Ready() bool                         { return true }
-func (n *nothingNew) Records(int64, int) [][]byte         { return nil }
-func (n *nothingNew) Offer(int64, []byte)                 {}
-func (n *nothingNew) Listen(func(*inforce.Configuration)) {}
+func (n *fixedConfiguration) Current() *inforce.Configuration     { return &n.c }
+func (n *fixedConfiguration) Ready() bool                         { return true }
+func (n *fixedConfiguration) Records(int64, int) [][]byte         { return nil }
+func (n *fixedConfiguration) Offer(int64, []byte)                 {}
+func (n *fixedConfiguration) Listen(func(*inforce.Configuration)) {}
 
-// heldClaims tells when a claim or an outcome has come, and keeps it until it is let go, as a slow log does.
-type heldClaims struct {
-	came chan string
-	held chan struct{}
+// blockingClaims reports each claim and each outcome that arrives, and blocks it until it is released, like a slow
+// log.
+type blockingClaims struct {
+	arrived chan string
+	unblock chan struct{}
 }
 
-func (h *heldClaims) ClaimHere(_ context.Context, c claim.Request) (g claim.Grant, err error) {
-	h.came <- c.Key
-	<-h.held
+func (h *blockingClaims) ClaimHere(_ context.Context, c claim.Request) (g claim.Grant, err error) {
+	h.arrived <- c.Key
+	<-h.unblock
 	return claim.Grant{Claim: c}, nil
 }
 
-func (h *heldClaims) SettleHere(_ context.Context, g claim.Grant, _ claim.Result) {
-	h.came <- g.Claim.Key
-	<-h.held
+func (h *blockingClaims) SettleHere(_ context.Context, g claim.Grant, _ claim.Result) {
+	h.arrived <- g.Claim.Key
+	<-h.unblock
 }
 
-// hold makes claims that are let go at the end of the test at the latest.
-func hold(t *testing.T) (h *heldClaims, letGo func()) {
-	h = &heldClaims{came: make(chan string, 8), held: make(chan struct{})}
+// newBlockingClaims returns claims that are released at the end of the test at the latest.
+func newBlockingClaims(t *testing.T) (h *blockingClaims, release func()) {
+	h = &blockingClaims{arrived: make(chan string, 8), unblock: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
-	context.AfterFunc(ctx, func() { close(h.held) })
+	context.AfterFunc(ctx, func() { close(h.unblock) })
 	return h, cancel
 }
 
-// agent runs a router's part that speaks with peers; it exchanges nothing by itself.
-func agent(t *testing.T, name string, claims Claims, cfg *tls.Config) *Agent {
+// newAgent starts an agent that starts no exchanges by itself.
+func newAgent(t *testing.T, name string, claims Claims, cfg *tls.Config) *Agent {
 	t.Helper()
 	members := membership.New(membership.Rumour{Name: name, Incarnation: 1}, time.Minute)
 	a, err := New("127.0.0.1:0", Parts{
-		Members: members, Ledger: &ledger.Ledger{}, Health: &health.Table{}, Configuration: &nothingNew{}, Claims: claims,
+		Members: members, Ledger: &ledger.Ledger{}, Health: &health.Table{}, Configuration: &fixedConfiguration{}, Claims: claims,
 		Spills: &spills.Table{}, Meter: meter.New(metrics.NewSet()), Logger: log.NewNopLogger(), TLS: cfg,
 		Period: time.Hour, Budget: 1 << 30,
 	})
@@ -72,8 +73,8 @@
 	return a
 }
 
-// know puts members at their addresses on a router's list.
-func know(a *Agent, addresses map[string]string) {
+// setMembers adds members with their addresses to an agent's member list.
+func setMembers(a *Agent, addresses map[string]string) {
 	var all []membership.Rumour
 	for name, address := range addresses {
 		all = append(all, membership.Rumour{Name: name, Address: address, Incarnation: 1})
@@ -81,8 +82,9 @@
 	a.Members.Listed(all, time.Now())
 }
 
-// silent is the address of a member whose process stands still: the kernel takes connections, and nothing answers.
-func silent(t *testing.T) (address string) {
+// silentAddress returns the address of a peer whose process has stopped: the kernel accepts connections, but nothing
+// answers.
+func silentAddress(t *testing.T) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -90,12 +92,12 @@
 	return l.Addr().String()
 }
 
-// The process of a peer stands still, and the connection to it is to be encrypted. The kernel takes the connection, the
-// handshake is never answered, and the exchange waited for it without end: this router then told nobody anything more,
-// and was taken for dead itself. An exchange must end by its own time.
-func TestSilentHandshakeEndsWithTheCall(t *testing.T) {
-	a := agent(t, "first", nil, &tls.Config{MinVersion: tls.VersionTLS12})
-	know(a, map[string]string{"second": silent(t)})
+// A peer's process is stopped: the kernel accepts the connection, but the TLS handshake is never answered. An exchange
+// that waits for the handshake without a timeout blocks all further exchanges of this router, and its peers then
+// declare it dead. The call timeout must apply to the handshake as well.
+func TestCallTimeoutBoundsTLSHandshake(t *testing.T) {
+	a := newAgent(t, "first", nil, &tls.Config{MinVersion: tls.VersionTLS12})
+	setMembers(a, map[string]string{"second": silentAddress(t)})
 	done := make(chan struct{})
 	go func() {
 		a.exchangeAll(context.Background(), a.peers())
@@ -104,81 +106,82 @@
 	select {
 	case <-done:
 	case <-time.After(4 * callTimeout):
-		t.Fatal("the exchange still waits")
+		t.Fatal("the exchange did not end within the call timeout")
 	}
 }
 
-// second is the second router as the first knows it.
-func second(t *testing.T, a *Agent) (p membership.Peer) {
+// secondPeer returns the second router as the first one has it in its member list.
+func secondPeer(t *testing.T, a *Agent) (p membership.Peer) {
 	t.Helper()
 	p, err := a.member("second")
 	assert.NilError(t, err)
 	return p
 }
 
-// claimAt asks the second router for a claim, and returns when it is being made there.
-func claimAt(t *testing.T, ctx context.Context, a *Agent, h *heldClaims, key string) (claimed chan error) {
+// startClaim requests a claim from the second router and returns once that router is processing it.
+func startClaim(t *testing.T, ctx context.Context, a *Agent, h *blockingClaims, key string) (claimed chan error) {
 	t.Helper()
 	claimed = make(chan error, 1)
 	go func() {
 		_, err := a.Claim(ctx, "second", claim.Request{Key: key})
 		claimed <- err
 	}()
-	assert.Equal(t, <-h.came, key)
+	assert.Equal(t, <-h.arrived, key)
 	return claimed
 }
 
-// connections is how many another router has to this one.
-func connections(a *Agent) int {
+// acceptedCount returns the number of connections that an agent has accepted.
+func acceptedCount(a *Agent) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.accepted)
+	return len(a.acceptedConns)
 }
 
-// A caller's call is being claimed at another router, on a slow log. Some other call on the same connection runs out of
-// its time, as heartbeats do beside it. It ended the connection: the claim was made, its caller got nothing of it. The
-// claim must be granted, the next call must not use the connection that was found silent, and that one must end.
-func TestTimeoutSparesTheOtherCalls(t *testing.T) {
-	h, letGo := hold(t)
-	first, other := agent(t, "first", nil, nil), agent(t, "second", h, nil)
-	know(first, map[string]string{"second": other.Address()})
-	claimed := claimAt(t, t.Context(), first, h, "k")
-	var none ClaimAnswer
-	err := first.callWithin(t.Context(), 10*time.Millisecond, second(t, first), "Claim", claim.Request{Key: "late"}, &none)
+// A claim is in progress at a peer, on a slow log, when another call on the same connection times out. Closing the
+// connection then loses the reply to the claim. The claim must be granted, the next call must use a new connection,
+// and the old one must be closed after the claim.
+func TestCallTimeoutKeepsOtherCalls(t *testing.T) {
+	h, release := newBlockingClaims(t)
+	first, other := newAgent(t, "first", nil, nil), newAgent(t, "second", h, nil)
+	setMembers(first, map[string]string{"second": other.Address()})
+	claimed := startClaim(t, t.Context(), first, h, "k")
+	var reply ClaimReply
+	err := first.callWithTimeout(t.Context(), 10*time.Millisecond, secondPeer(t, first), "Claim", claim.Request{Key: "late"}, &reply)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
-	var answer Answer
-	assert.NilError(t, first.call(t.Context(), second(t, first), "Try", Probe{}, &answer))
-	assert.Equal(t, connections(other), 2)
-	letGo()
+	var tried TryReply
+	assert.NilError(t, first.call(t.Context(), secondPeer(t, first), "Try", TryRequest{}, &tried))
+	assert.Equal(t, acceptedCount(other), 2)
+	release()
 	assert.NilError(t, <-claimed)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if n := connections(other); n != 1 {
+		if n := acceptedCount(other); n != 1 {
 			return poll.Continue("%d connections", n)
 		}
 		return poll.Success()
 	})
 }
 
-// Two callers' calls are being claimed at another router; one of the callers hangs up. It ended the connection with the
-// other's claim on it. The other must be served, and on the same connection: that a caller leaves says nothing of the peer.
-func TestCallerThatLeavesSparesTheOtherCalls(t *testing.T) {
-	h, letGo := hold(t)
-	first, other := agent(t, "first", nil, nil), agent(t, "second", h, nil)
-	know(first, map[string]string{"second": other.Address()})
-	stays := claimAt(t, t.Context(), first, h, "stays")
-	ctx, hangUp := context.WithCancel(t.Context())
-	leaves := claimAt(t, ctx, first, h, "leaves")
-	hangUp()
-	assert.ErrorIs(t, <-leaves, context.Canceled)
-	var answer Answer
-	assert.NilError(t, first.call(t.Context(), second(t, first), "Try", Probe{}, &answer))
-	assert.Equal(t, connections(other), 1)
-	letGo()
-	assert.NilError(t, <-stays)
+// Two claims are in progress at a peer when one caller cancels. Closing the connection would lose the other claim. The
+// other claim must succeed, and the connection must stay in use, since a cancellation says nothing about the peer.
+func TestCanceledCallKeepsOtherCalls(t *testing.T) {
+	h, release := newBlockingClaims(t)
+	first, other := newAgent(t, "first", nil, nil), newAgent(t, "second", h, nil)
+	setMembers(first, map[string]string{"second": other.Address()})
+	remaining := startClaim(t, t.Context(), first, h, "stays")
+	ctx, cancel := context.WithCancel(t.Context())
+	canceled := startClaim(t, ctx, first, h, "leaves")
+	cancel()
+	assert.ErrorIs(t, <-canceled, context.Canceled)
+	var tried TryReply
+	assert.NilError(t, first.call(t.Context(), secondPeer(t, first), "Try", TryRequest{}, &tried))
+	assert.Equal(t, acceptedCount(other), 1)
+	release()
+	assert.NilError(t, <-remaining)
 }
 
-// deaf is an address whose first connection is taken and never answered; the later ones go to the target.
-func deaf(t *testing.T, target string) (address string) {
+// firstConnectionSilent returns an address whose first connection is accepted and never answered; later ones are
+// forwarded to the target.
+func firstConnectionSilent(t *testing.T, target string) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -201,79 +204,80 @@
 	return l.Addr().String()
 }
 
-// The connection to a peer falls silent while a claim waits on it for its three seconds. The next exchange finds out after
-// its half second, and the one after that must get through: it must not wait until the claim has given up.
-func TestSilentConnectionIsGivenUpSoon(t *testing.T) {
-	first, other := agent(t, "first", nil, nil), agent(t, "second", nil, nil)
-	know(first, map[string]string{"second": deaf(t, other.Address())})
-	ctx, hangUp := context.WithCancel(t.Context())
-	waited := make(chan error, 1)
+// The connection to a peer becomes silent while a claim waits on it, with a timeout of three seconds. The next
+// exchange times out after half a second, and the one after that must succeed on a new connection, without waiting for
+// the claim to time out.
+func TestSilentConnectionIsReplacedAfterTimeout(t *testing.T) {
+	first, other := newAgent(t, "first", nil, nil), newAgent(t, "second", nil, nil)
+	setMembers(first, map[string]string{"second": firstConnectionSilent(t, other.Address())})
+	ctx, cancel := context.WithCancel(t.Context())
+	claimed := make(chan error, 1)
 	go func() {
 		_, err := first.Claim(ctx, "second", claim.Request{Key: "k"})
-		waited <- err
+		claimed <- err
 	}()
-	var reply Message
-	p := second(t, first)
-	assert.ErrorIs(t, first.call(t.Context(), p, "Meet", first.message("second"), &reply), context.DeadlineExceeded)
-	assert.NilError(t, first.call(t.Context(), p, "Meet", first.message("second"), &reply))
-	hangUp()
-	assert.ErrorIs(t, <-waited, context.Canceled)
+	var reply GossipMessage
+	p := secondPeer(t, first)
+	assert.ErrorIs(t, first.call(t.Context(), p, "Meet", first.newMessage("second"), &reply), context.DeadlineExceeded)
+	assert.NilError(t, first.call(t.Context(), p, "Meet", first.newMessage("second"), &reply))
+	cancel()
+	assert.ErrorIs(t, <-claimed, context.Canceled)
 }
 
-// The process of a third router stands still. The first can't reach it and asks the second, which is sound, to try. The
-// second waited for the third as long as the first for the second, so that the first always gave up first, took the second
-// for silent as well, and never learned what the second had found. The second must answer in time that it heard nothing.
-func TestAskedRouterAnswersBeforeItsAskerGivesUp(t *testing.T) {
-	first, other := agent(t, "first", nil, nil), agent(t, "second", nil, nil)
-	third := silent(t)
-	know(first, map[string]string{"second": other.Address(), "third": third})
-	know(other, map[string]string{"first": first.Address(), "third": third})
-	var answer Answer
-	const withTheWayThere = callTimeout * 9 / 10
-	assert.NilError(t, first.callWithin(t.Context(), withTheWayThere, second(t, first), "Try", Probe{Target: "third"}, &answer))
-	assert.Assert(t, !answer.Heard)
+// The process of a third router is stopped. The first router can't reach it and asks the second, healthy one to try.
+// With equal timeouts, the first gave up before the second could reply, suspected the second as well, and never
+// learned the result. The second must report in time that the third did not answer.
+func TestTryRepliesBeforeRequesterTimesOut(t *testing.T) {
+	first, other := newAgent(t, "first", nil, nil), newAgent(t, "second", nil, nil)
+	third := silentAddress(t)
+	setMembers(first, map[string]string{"second": other.Address(), "third": third})
+	setMembers(other, map[string]string{"first": first.Address(), "third": third})
+	var tried TryReply
+	const remainingTimeout = callTimeout * 9 / 10
+	assert.NilError(t, first.callWithTimeout(t.Context(), remainingTimeout, secondPeer(t, first), "Try", TryRequest{Target: "third"}, &tried))
+	assert.Assert(t, !tried.Heard)
 }
 
-// A router stops as planned while it makes a claim, and notes an outcome, for another one. It cut both: the claim was made
-// and its grant lost, the outcome was written twice. Both must be answered before the connection ends.
-func TestPlannedStopAnswersWhatPeersAsked(t *testing.T) {
-	h, letGo := hold(t)
-	first, other := agent(t, "first", nil, nil), agent(t, "second", h, nil)
-	know(first, map[string]string{"second": other.Address()})
-	know(other, map[string]string{"first": first.Address()})
-	claimed := claimAt(t, t.Context(), first, h, "k")
+// A router is stopped while it processes a claim and an outcome for a peer. Closing the connection at once lost the
+// grant of the claim, and the outcome was written twice. Both calls must be answered before the connection is closed.
+func TestStopAnswersPendingCalls(t *testing.T) {
+	h, release := newBlockingClaims(t)
+	first, other := newAgent(t, "first", nil, nil), newAgent(t, "second", h, nil)
+	setMembers(first, map[string]string{"second": other.Address()})
+	setMembers(other, map[string]string{"first": first.Address()})
+	claimed := startClaim(t, t.Context(), first, h, "k")
 	settled := make(chan error, 1)
 	go func() {
 		settled <- first.Settle(t.Context(), "second", claim.Grant{Claim: claim.Request{Key: "s"}}, claim.Result{})
 	}()
-	assert.Equal(t, <-h.came, "s")
+	assert.Equal(t, <-h.arrived, "s")
 	stopped := make(chan error, 1)
 	go func() { stopped <- other.Stop(t.Context()) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if state := second(t, first).State; state != membership.Leaving.String() {
-			return poll.Continue("the second is %s", state)
+		if state := secondPeer(t, first).State; state != membership.Leaving.String() {
+			return poll.Continue("the second router is %s", state)
 		}
 		return poll.Success()
 	})
-	time.Sleep(2 * lastRead)
-	letGo()
+	time.Sleep(2 * drainReadTimeout)
+	release()
 	assert.NilError(t, <-claimed)
 	assert.NilError(t, <-settled)
 	assert.NilError(t, <-stopped)
 }
 
-// A router stops as planned while a claim that it makes for another one hangs. The stop's time is up: the connection ends
-// all the same, and the other router claims elsewhere.
-func TestPlannedStopHasItsBound(t *testing.T) {
-	h, letGo := hold(t)
-	first, other := agent(t, "first", nil, nil), agent(t, "second", h, nil)
-	know(first, map[string]string{"second": other.Address()})
-	claimed := claimAt(t, t.Context(), first, h, "k")
-	ctx, cancel := context.WithTimeout(t.Context(), 2*lastRead)
+// A router is stopped while a claim that it processes for a peer hangs. When the context of the stop ends, the
+// connection must be closed all the same, so that the peer can make the claim itself.
+func TestStopIsBoundedByContext(t *testing.T) {
+	h, release := newBlockingClaims(t)
+	first, other := newAgent(t, "first", nil, nil), newAgent(t, "second", h, nil)
+	setMembers(first, map[string]string{"second": other.Address()})
+	claimed := startClaim(t, t.Context(), first, h, "k")
+	ctx, cancel := context.WithTimeout(t.Context(), 2*drainReadTimeout)
 	defer cancel()
 	stopped := make(chan error, 1)
 	go func() { stopped <- other.Stop(ctx) }()
 	assert.ErrorContains(t, <-claimed, "EOF")
-	letGo()
+	release()
 	assert.NilError(t, <-stopped)
 }
--- a/io/peer/claims.go
+++ b/io/peer/claims.go
@@ -9,10 +9,10 @@
 	"savoryfall/core/membership"
 )
 
-// claimTimeout covers an append and its reading back on a slow log.
+// claimTimeout allows for appending a record to a slow log and reading it back.
 const claimTimeout = 3 * time.Second
 
-// errUnknownMember says that the router is not known, or not known any more.
+// errUnknownMember is returned for a router that is not, or no longer, in the member list.
 var errUnknownMember = errors.New("the router is not a member")
 
 func (a *Agent) member(name string) (p membership.Peer, err error) {
@@ -24,38 +24,38 @@
 	return p, errUnknownMember
 }
 
-// Claim asks another router for the right to send a call.
+// Claim asks another router to claim the key of a request.
 func (a *Agent) Claim(ctx context.Context, router string, c claim.Request) (g claim.Grant, err error) {
 	p, err := a.member(router)
 	if err != nil {
 		return g, err
 	}
-	var answer ClaimAnswer
-	err = a.callWithin(ctx, claimTimeout, p, "Claim", c, &answer)
+	var reply ClaimReply
+	err = a.callWithTimeout(ctx, claimTimeout, p, "Claim", c, &reply)
 	if err != nil {
 		return g, err
 	}
-	if answer.Refused != nil {
-		return g, answer.Refused
+	if reply.Refused != nil {
+		return g, reply.Refused
 	}
-	return answer.Grant, nil
+	return reply.Grant, nil
 }
 
-// Settle hands the outcome of a granted call to another router.
+// Settle passes the outcome of a claimed request to another router.
 func (a *Agent) Settle(ctx context.Context, router string, g claim.Grant, result claim.Result) (err error) {
 	p, err := a.member(router)
 	if err != nil {
 		return err
 	}
-	var none Nothing
-	return a.callWithin(ctx, claimTimeout, p, "Settle", Settlement{Grant: g, Result: result}, &none)
+	var reply Empty
+	return a.callWithTimeout(ctx, claimTimeout, p, "Settle", SettleRequest{Grant: g, Result: result}, &reply)
 }
 
-// Claim claims a call for another router.
-func (r *Router) Claim(c claim.Request, reply *ClaimAnswer) error {
+// Claim claims a key for another router.
+func (s *Service) Claim(request claim.Request, reply *ClaimReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	g, err := r.agent.Claims.ClaimHere(ctx, c)
+	g, err := s.agent.Claims.ClaimHere(ctx, request)
 	if errors.As(err, &reply.Refused) {
 		return nil
 	}
@@ -63,10 +63,10 @@
 	return err
 }
 
-// Settle puts the outcome of a call on the log for another router.
-func (r *Router) Settle(s Settlement, _ *Nothing) error {
+// Settle appends the outcome of a request to the log for another router.
+func (s *Service) Settle(request SettleRequest, _ *Empty) error {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	r.agent.Claims.SettleHere(ctx, s.Grant, s.Result)
+	s.agent.Claims.SettleHere(ctx, request.Grant, request.Result)
 	return nil
 }
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -17,74 +17,75 @@
 	serviceName = "Peer"
 )
 
-// connection is one to a peer, shared by all calls to it: heartbeats as well as claims of callers' calls, which may take
-// much longer. A call that runs out of time says that the peer may be silent, but not that the other calls get no answer:
-// when it ended the connection, claims that were being made were lost to their callers. So it retires the connection: new
-// calls make another, and the old one is ended with the last call on it. A silent peer is given up no later for that,
-// since every call has a bound of its own.
+// connection is a connection to a peer, shared by all calls to it: heartbeats as well as claims, which may take much
+// longer. A call that times out suggests that the peer is unresponsive, but doesn't prove that the other calls will
+// fail; closing the connection then lost the replies to claims in progress. So a timeout only retires the connection:
+// new calls open another one, and the old one is closed after its last call. Since every call has a timeout of its
+// own, an unresponsive peer is still given up in bounded time.
 type connection struct {
 	address string
 	cancel  context.CancelFunc
-	// made is closed when the connection is there or has failed; client and err are set before.
-	made   chan struct{}
+	// dialed is closed once the connection is established or has failed; client and err are set before.
+	dialed chan struct{}
 	client *rpc.Client
 	err    error
-	// The agent's lock guards the rest.
-	calls   int
-	retired bool
-	ended   bool
+	// The fields below are guarded by Agent.mu.
+	activeCalls int
+	retired     bool
+	closed      bool
 }
 
-// errCut stands for a network that does not carry the message; only tests cut.
-var errCut = errors.New("no route to the peer")
+// errPartitioned simulates a network partition; only tests enable one, with Cut.
+var errPartitioned = errors.New("no route to the peer")
 
-// Cut makes this router unable to call, or be called by, the peers that the function names, until it is nil.
-func (a *Agent) Cut(cut func(name string) bool) {
+// Cut simulates a network partition between this router and the peers for which the function returns true; nil ends
+// it.
+func (a *Agent) Cut(partitioned func(name string) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cut = cut
+	a.partitioned = partitioned
 }
 
-func (a *Agent) isCut(name string) bool {
+func (a *Agent) isPartitioned(name string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.cut != nil && a.cut(name)
+	return a.partitioned != nil && a.partitioned(name)
 }
 
 func (a *Agent) call(ctx context.Context, p membership.Peer, method string, args, reply any) (err error) {
-	return a.callWithin(ctx, callTimeout, p, method, args, reply)
+	return a.callWithTimeout(ctx, callTimeout, p, method, args, reply)
 }
 
-func (a *Agent) callWithin(ctx context.Context, d time.Duration, p membership.Peer, method string, args, reply any) (err error) {
-	if a.isCut(p.Name) {
-		return errCut
+func (a *Agent) callWithTimeout(ctx context.Context, timeout time.Duration, p membership.Peer, method string, args, reply any) (err error) {
+	if a.isPartitioned(p.Name) {
+		return errPartitioned
 	}
-	ctx, cancel := context.WithTimeout(ctx, d)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c, err := a.enter(p)
+	c, err := a.acquireConnection(p)
 	if err != nil {
 		return err
 	}
-	defer a.leave(c)
+	defer a.releaseConnection(c)
 	err = c.call(ctx, method, args, reply)
-	if speaksAgainst(err) {
-		a.retire(p.Name, c)
+	if isConnectionFailure(err) {
+		a.retireConnection(p.Name, c)
 	}
 	return err
 }
 
-// speaksAgainst tells whether the error is one of the connection: a peer that answers with an error is there, and a caller
-// that hangs up says nothing of the peer.
-func speaksAgainst(err error) bool {
-	var answered rpc.ServerError
-	return err != nil && !errors.As(err, &answered) && !errors.Is(err, context.Canceled)
+// isConnectionFailure reports whether the error suggests that the connection or the peer has failed. An error returned
+// by the peer proves that it is alive, and a canceled context says nothing about it.
+func isConnectionFailure(err error) bool {
+	var serverErr rpc.ServerError
+	return err != nil && !errors.As(err, &serverErr) && !errors.Is(err, context.Canceled)
 }
 
-// call returns when the peer has answered or the context has ended, also while the message is still being written: a peer
-// that reads nothing must not hold the caller.
+// call returns when the peer has replied or the context has ended. The RPC runs in a goroutine of its own, because
+// writing the request blocks while the peer doesn't read.
 func (c *connection) call(ctx context.Context, method string, args, reply any) (err error) {
 	select {
-	case <-c.made:
+	case <-c.dialed:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -101,88 +102,89 @@
 	}
 }
 
-// enter finds or makes the connection for a new call, and counts the call.
-func (a *Agent) enter(p membership.Peer) (c *connection, err error) {
+// acquireConnection returns the connection to a peer for a new call, opening one if necessary, and counts the call.
+func (a *Agent) acquireConnection(p membership.Peer) (c *connection, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.killed {
+	if a.closed {
 		return nil, net.ErrClosed
 	}
-	c = a.conns[p.Name]
+	c = a.connByPeer[p.Name]
 	if c != nil && c.address == p.Address {
-		c.calls++
+		c.activeCalls++
 		return c, nil
 	}
 	if c != nil {
 		c.retired = true
-		a.endUnused(c)
+		a.closeIfUnused(c)
 	}
-	// No call waits longer than the longest for the connection to be made.
+	// Dialing gets the longest timeout that any call has.
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
-	c = &connection{address: p.Address, cancel: cancel, made: make(chan struct{}), calls: 1}
-	a.conns[p.Name] = c
-	a.open[c] = true
+	c = &connection{address: p.Address, cancel: cancel, dialed: make(chan struct{}), activeCalls: 1}
+	a.connByPeer[p.Name] = c
+	a.openConns[c] = true
 	go a.dial(ctx, p.Name, c)
 	return c, nil
 }
 
-func (a *Agent) leave(c *connection) {
+func (a *Agent) releaseConnection(c *connection) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c.calls--
-	a.endUnused(c)
+	c.activeCalls--
+	a.closeIfUnused(c)
 }
 
-// retire keeps new calls off the connection.
-func (a *Agent) retire(name string, c *connection) {
+// retireConnection excludes the connection from new calls, and closes it once it has no active ones.
+func (a *Agent) retireConnection(name string, c *connection) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.conns[name] == c {
-		delete(a.conns, name)
+	if a.connByPeer[name] == c {
+		delete(a.connByPeer, name)
 	}
 	c.retired = true
-	a.endUnused(c)
+	a.closeIfUnused(c)
 }
 
-func (a *Agent) endUnused(c *connection) {
-	if c.retired && c.calls == 0 {
-		a.end(c)
+func (a *Agent) closeIfUnused(c *connection) {
+	if c.retired && c.activeCalls == 0 {
+		a.closeConnection(c)
 	}
 }
 
-// end ends the connection under whatever is on it; the agent's lock is held.
-func (a *Agent) end(c *connection) {
-	if c.ended {
+// closeConnection closes the connection, active calls included. The caller holds a.mu.
+func (a *Agent) closeConnection(c *connection) {
+	if c.closed {
 		return
 	}
-	c.ended = true
-	delete(a.open, c)
+	c.closed = true
+	delete(a.openConns, c)
 	c.cancel()
 	if c.client != nil {
-		// Not under the lock: with TLS a farewell is written first, which a peer that reads nothing holds up.
+		// Outside the lock: closing a TLS connection first writes an alert, which blocks while the peer doesn't read.
 		go func() { _ = c.client.Close() }()
 	}
 }
 
-// dial makes the connection for all that wait for it, so that none of them waits for another's attempt and then for its
-// own.
+// dial establishes the connection once for all calls that wait for it, so that no call waits for a failing attempt of
+// another call and then makes its own.
 func (a *Agent) dial(ctx context.Context, name string, c *connection) {
 	defer c.cancel()
 	raw, err := a.Meter.Dial(meter.KindPeer)(ctx, "tcp", c.address)
 	if err == nil {
-		raw, err = a.secure(ctx, raw, c.address)
+		raw, err = a.handshake(ctx, raw, c.address)
 	}
-	a.made(c, raw, err)
+	a.dialed(c, raw, err)
 	if err != nil {
-		a.retire(name, c)
+		a.retireConnection(name, c)
 	}
 }
 
-func (a *Agent) made(c *connection, raw net.Conn, err error) {
+// dialed stores the result of a dial and wakes the calls that wait for it.
+func (a *Agent) dialed(c *connection, raw net.Conn, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	defer close(c.made)
-	if err == nil && c.ended {
+	defer close(c.dialed)
+	if err == nil && c.closed {
 		_ = raw.Close()
 		err = net.ErrClosed
 	}
@@ -192,9 +194,9 @@
 	}
 }
 
-// secure makes the handshake at once: left to the first write, it waits without bound for a peer whose process stands
-// still, and every call after it.
-func (a *Agent) secure(ctx context.Context, raw net.Conn, address string) (c net.Conn, err error) {
+// handshake performs the TLS handshake before the first call. If it were left to the first write, that write would
+// block without a timeout on a peer whose process has stopped, and with it all later calls.
+func (a *Agent) handshake(ctx context.Context, raw net.Conn, address string) (c net.Conn, err error) {
 	if a.TLS == nil {
 		return raw, nil
 	}
@@ -207,7 +209,7 @@
 	return secured, nil
 }
 
-// clientTLS checks the peer by the IP number that it is called at.
+// clientTLS verifies the peer's certificate against the IP address that is dialed.
 func clientTLS(base *tls.Config, address string) *tls.Config {
 	host, _, err := net.SplitHostPort(address)
 	cfg := base.Clone()
--- a/io/peer/doc.go
+++ b/io/peer/doc.go
@@ -1,2 +1,2 @@
-// Package peer speaks net/rpc with the other routers of the fleet.
+// Package peer exchanges cluster state with the other routers over net/rpc.
 package peer
--- a/io/peer/finding.go
+++ b/io/peer/finding.go
@@ -6,48 +6,49 @@
 	"savoryfall/core/health"
 )
 
-// finding is one that is being told, to the members that have not taken it yet. What was counted as told when it was sent
-// got lost with the exchange, and a member that has no duty to probe took a dead endpoint for living for good.
-type finding struct {
-	down bool
-	at   time.Time
-	told map[string]bool
+// pendingFinding is a finding together with the peers that have received it. A finding counts as delivered only after
+// the exchange has succeeded: when it was counted on sending, a failed exchange lost it, and a router without the duty
+// to probe kept treating a dead endpoint as up.
+type pendingFinding struct {
+	down      bool
+	since     time.Time
+	delivered map[string]bool
 }
 
-// SpreadFinding tells the peers that an endpoint was seen to fall or to return.
+// SpreadFinding notifies the peers that an endpoint has gone down or has recovered.
 func (a *Agent) SpreadFinding(f Finding) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.findings[f.Endpoint] = &finding{down: f.Down, at: time.Now(), told: map[string]bool{}}
-	a.hurry()
+	a.findings[f.Endpoint] = &pendingFinding{down: f.Down, since: time.Now(), delivered: map[string]bool{}}
+	a.triggerExchange()
 }
 
-// addFindings adds those that the peer has not taken.
-func (a *Agent) addFindings(m *Message, to string, now time.Time) {
+// addFindings adds the findings that the peer has not received. The caller holds a.mu.
+func (a *Agent) addFindings(m *GossipMessage, to string, now time.Time) {
 	for endpoint, f := range a.findings {
-		if now.Sub(f.at) > findingPeriods*a.Period {
+		if now.Sub(f.since) > findingLifetimePeriods*a.Period {
 			delete(a.findings, endpoint)
 			continue
 		}
-		if !f.told[to] && len(m.Findings) < maxNews {
+		if !f.delivered[to] && len(m.Findings) < maxEndpointNotices {
 			m.Findings = append(m.Findings, Finding{Endpoint: endpoint, Down: f.down})
 		}
 	}
 }
 
-// told notes that the peer has taken the findings, unless they have changed since.
-func (a *Agent) told(peer string, findings []Finding) {
+// delivered records that the peer has received the findings, except those that have changed in the meantime.
+func (a *Agent) delivered(peer string, findings []Finding) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, told := range findings {
-		if f := a.findings[told.Endpoint]; f != nil && f.down == told.Down {
-			f.told[peer] = true
+	for _, delivered := range findings {
+		if f := a.findings[delivered.Endpoint]; f != nil && f.down == delivered.Down {
+			f.delivered[peer] = true
 		}
 	}
 }
 
-// takeFinding looks for itself where a peer believes otherwise.
-func (a *Agent) takeFinding(f Finding, now time.Time) {
+// receiveFinding probes the endpoint if the peer's view of it differs from this router's.
+func (a *Agent) receiveFinding(f Finding, now time.Time) {
 	down := a.Health.State(f.Endpoint, now) == health.Down
 	if down != f.Down && a.Prober != nil {
 		a.Prober.Look(f.Endpoint)
--- a/io/peer/finding_test.go
+++ b/io/peer/finding_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// refusing is the address of a member that refuses every connection.
-func refusing(t *testing.T) (address string) {
+// refusingAddress returns an address that refuses every connection.
+func refusingAddress(t *testing.T) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -17,38 +17,39 @@
 	return address
 }
 
-var fallen = Finding{Endpoint: "engine-01", Down: true}
+var downFinding = Finding{Endpoint: "engine-01", Down: true}
 
-// An engine is killed while exchanges with a peer fail. The finding must be told when they succeed again: the peer has no
-// duty to probe the engine, and hears of it from nobody else.
-func TestFindingOutlastsFailedExchanges(t *testing.T) {
-	a := agent(t, "first", nil, nil)
-	know(a, map[string]string{"second": refusing(t)})
-	a.SpreadFinding(fallen)
+// An engine goes down while exchanges with a peer fail. The finding must still be sent when exchanges succeed again:
+// the peer has no duty to probe the engine and learns of it in no other way.
+func TestFindingIsResentAfterFailedExchanges(t *testing.T) {
+	a := newAgent(t, "first", nil, nil)
+	setMembers(a, map[string]string{"second": refusingAddress(t)})
+	a.SpreadFinding(downFinding)
 	for range 5 {
 		a.exchangeAll(t.Context(), a.peers())
 	}
-	assert.DeepEqual(t, a.message("second").Findings, []Finding{fallen})
+	assert.DeepEqual(t, a.newMessage("second").Findings, []Finding{downFinding})
 }
 
-// An engine is killed before two routers that have just started know of each other. The one that saw it tells the other when
-// they meet.
-func TestFindingIsToldToWhoIsMetLater(t *testing.T) {
-	a := agent(t, "first", nil, nil)
-	a.SpreadFinding(fallen)
+// An engine goes down before two routers that have just started have discovered each other. The finding must be sent
+// at their first exchange.
+func TestFindingReachesMemberDiscoveredLater(t *testing.T) {
+	a := newAgent(t, "first", nil, nil)
+	a.SpreadFinding(downFinding)
 	a.exchangeAll(t.Context(), a.peers())
-	know(a, map[string]string{"second": refusing(t)})
-	assert.DeepEqual(t, a.message("second").Findings, []Finding{fallen})
+	setMembers(a, map[string]string{"second": refusingAddress(t)})
+	assert.DeepEqual(t, a.newMessage("second").Findings, []Finding{downFinding})
 }
 
-// Every exchange costs control bytes, so who has taken a finding is not told it again, but for what has changed since.
-func TestFindingIsToldOnce(t *testing.T) {
-	a, b := agent(t, "first", nil, nil), agent(t, "second", nil, nil)
-	know(a, map[string]string{"second": b.Address()})
-	a.SpreadFinding(fallen)
+// Every exchange counts against the budget of control traffic, so a peer that has received a finding must not be sent
+// it again unless it has changed since.
+func TestFindingIsSentOnce(t *testing.T) {
+	a, b := newAgent(t, "first", nil, nil), newAgent(t, "second", nil, nil)
+	setMembers(a, map[string]string{"second": b.Address()})
+	a.SpreadFinding(downFinding)
 	a.exchangeAll(t.Context(), a.peers())
-	assert.Equal(t, len(a.message("second").Findings), 0)
-	assert.Equal(t, len(a.message("third").Findings), 1)
+	assert.Equal(t, len(a.newMessage("second").Findings), 0)
+	assert.Equal(t, len(a.newMessage("third").Findings), 1)
 	a.SpreadFinding(Finding{Endpoint: "engine-01"})
-	assert.Equal(t, len(a.message("second").Findings), 1)
+	assert.Equal(t, len(a.newMessage("second").Findings), 1)
 }
--- a/io/peer/message.go
+++ b/io/peer/message.go
@@ -5,8 +5,8 @@
 	"savoryfall/core/membership"
 )
 
-// Message is what two routers tell each other in one exchange, the same both ways.
-type Message struct {
+// GossipMessage is both the request and the reply of an exchange between two routers.
+type GossipMessage struct {
 	Self     membership.Rumour
 	Next     int64
 	Shape    uint32
@@ -17,64 +17,64 @@
 	Spills   []byte
 }
 
-// Mark says that an incarnation of an endpoint is leaving.
+// Mark reports that an incarnation of an endpoint is leaving.
 type Mark struct {
 	Endpoint    string
 	Incarnation string
 }
 
-// Finding says that an endpoint was seen to fall or to return. It only makes the hearer look for itself: what one
-// router cannot reach behind a cut, another may reach well.
+// Finding reports that an endpoint has gone down or has recovered. The receiver doesn't adopt it, but probes the
+// endpoint itself: during a network partition, one router may reach an endpoint that another cannot.
 type Finding struct {
 	Endpoint string
 	Down     bool
 }
 
-// RecordsRequest asks for raw records of the configuration from an offset on.
+// RecordsRequest requests raw configuration records, starting at an offset.
 type RecordsRequest struct {
 	From int64
 	Max  int
 }
 
-// Records are raw records of the configuration, the first one at the offset that was asked for.
+// Records contains raw configuration records; the first one is at the requested offset.
 type Records struct {
 	Records [][]byte
 }
 
-// Probe asks a router to try another member.
-type Probe struct {
+// TryRequest asks a router to call another member.
+type TryRequest struct {
 	Target string
 }
 
-// Answer tells whether the target was heard.
-type Answer struct {
+// TryReply reports whether the target answered.
+type TryReply struct {
 	Heard bool
 }
 
-// Snapshot is the configuration in force of one router.
+// Snapshot contains the configuration that a router has in force.
 type Snapshot struct {
 	Data   []byte
 	Digest string
 	Next   int64
 }
 
-// Nothing is an empty argument.
-type Nothing struct{}
+// Empty is an empty request or reply.
+type Empty struct{}
 
-// News says that a router has the configuration up to an offset.
+// News announces that a router has the configuration records before the offset Next.
 type News struct {
 	From string
 	Next int64
 }
 
-// ClaimAnswer is the right to send a call, or why there is none.
-type ClaimAnswer struct {
+// ClaimReply contains either the granted claim or the reason for its refusal.
+type ClaimReply struct {
 	Grant   claim.Grant
 	Refused *claim.RefusedError
 }
 
-// Settlement is the outcome of a granted call.
-type Settlement struct {
+// SettleRequest contains the outcome of a claimed request.
+type SettleRequest struct {
 	Grant  claim.Grant
 	Result claim.Result
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -12,7 +12,7 @@
 
 func (a *Agent) serve() {
 	server := rpc.NewServer()
-	err := server.RegisterName(serviceName, &Router{agent: a})
+	err := server.RegisterName(serviceName, &Service{agent: a})
 	if err != nil {
 		panic("peer: " + err.Error())
 	}
@@ -28,46 +28,46 @@
 func (a *Agent) accept(server *rpc.Server, raw net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.killed {
+	if a.closed {
 		_ = raw.Close()
 		return
 	}
-	a.accepted[raw] = true
-	if a.leaving {
-		endReading(raw)
+	a.acceptedConns[raw] = true
+	if a.draining {
+		setDrainDeadline(raw)
 	}
-	a.serving.Go(func() {
+	a.connHandlers.Go(func() {
 		c := a.Meter.Conn(meter.KindPeer, raw)
 		if a.TLS != nil {
 			c = tls.Server(c, a.TLS)
 		}
 		server.ServeConn(c)
 		a.mu.Lock()
-		delete(a.accepted, raw)
+		delete(a.acceptedConns, raw)
 		a.mu.Unlock()
 	})
 }
 
-// lastRead is for how long requests are still taken from peers that have been told of the stop: what they sent before they
-// heard of it is under way.
-const lastRead = 100 * time.Millisecond
+// drainReadTimeout is for how long requests are still read after this router has announced that it is leaving: peers
+// may have sent some before the announcement reached them.
+const drainReadTimeout = 100 * time.Millisecond
 
-func endReading(raw net.Conn) { _ = raw.SetReadDeadline(time.Now().Add(lastRead)) }
+func setDrainDeadline(raw net.Conn) { _ = raw.SetReadDeadline(time.Now().Add(drainReadTimeout)) }
 
-// drain takes no new requests and returns when those that were read are answered, or when the context ends. Connections
-// that were closed under them cost callers of the peers their claims. It only ends the reading: net/rpc then sends the
-// answers that it owes, and closes.
+// drain accepts no new requests, and returns when those that were read are answered or the context ends. Closing the
+// connections immediately lost the claims that peers had requested. Setting a read deadline is enough: net/rpc then
+// sends the outstanding replies and closes the connection.
 func (a *Agent) drain(ctx context.Context) {
 	_ = a.listener.Close()
 	a.mu.Lock()
-	a.leaving = true
-	for c := range a.accepted {
-		endReading(c)
+	a.draining = true
+	for c := range a.acceptedConns {
+		setDrainDeadline(c)
 	}
 	a.mu.Unlock()
 	drained := make(chan struct{})
 	go func() {
-		a.serving.Stop()
+		a.connHandlers.Stop()
 		close(drained)
 	}()
 	select {
