--- a/io/claims/batcher.go
+++ b/io/claims/batcher.go
@@ -8,21 +8,22 @@
 	"savoryfall/core/claim"
 )
 
-// batcher puts records that come together into one append, because the log takes only a few hundred a second.
+// batcher combines records that arrive at about the same time into one append, because the log accepts only a few
+// hundred appends per second.
 type batcher struct {
-	log    Log
-	stream string
-	landed func(offset int64, data []byte)
-	in     chan pending
-	stop   chan struct{}
+	log        Log
+	stream     string
+	onAppended func(offset int64, data []byte)
+	queue      chan pendingAppend
+	stopped    chan struct{}
 }
 
-type pending struct {
+type pendingAppend struct {
 	record claim.Record
-	done   chan appended
+	done   chan appendResult
 }
 
-type appended struct {
+type appendResult struct {
 	offset int64
 	err    error
 }
@@ -32,58 +33,59 @@
 	batchRecords = 64
 )
 
-// errStopped says that a record was not appended, because the keeper is stopping.
-var errStopped = errors.New("the keeper of claims is stopping")
+// errStopped is returned for a record that was not appended because the partition is being stopped.
+var errStopped = errors.New("claim partition is stopping")
 
-func newBatcher(l Log, stream string, landed func(offset int64, data []byte)) *batcher {
-	return &batcher{log: l, stream: stream, landed: landed, in: make(chan pending), stop: make(chan struct{})}
+func newBatcher(l Log, stream string, onAppended func(offset int64, data []byte)) *batcher {
+	return &batcher{log: l, stream: stream, onAppended: onAppended, queue: make(chan pendingAppend), stopped: make(chan struct{})}
 }
 
-// append returns where the record stands; after an error other than a refusal it may or may not be on the stream.
+// append returns the offset of the record. After an error other than a refusal by the log, the record may or may not
+// be on the stream.
 func (b *batcher) append(ctx context.Context, r claim.Record) (offset int64, err error) {
-	p := pending{record: r, done: make(chan appended, 1)}
+	p := pendingAppend{record: r, done: make(chan appendResult, 1)}
 	select {
-	case b.in <- p:
-	case <-b.stop:
+	case b.queue <- p:
+	case <-b.stopped:
 		return 0, errStopped
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 	select {
-	case a := <-p.done:
-		return a.offset, a.err
+	case result := <-p.done:
+		return result.offset, result.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
 func (b *batcher) run(ctx context.Context) {
-	defer close(b.stop)
+	defer close(b.stopped)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-b.in:
-			go b.send(ctx, b.collect(first))
+		case first := <-b.queue:
+			go b.flush(ctx, b.collect(first))
 		}
 	}
 }
 
-func (b *batcher) collect(first pending) (batch []pending) {
-	batch = []pending{first}
-	full := time.After(batchWait)
+func (b *batcher) collect(first pendingAppend) (batch []pendingAppend) {
+	batch = []pendingAppend{first}
+	timeout := time.After(batchWait)
 	for len(batch) < batchRecords {
 		select {
-		case p := <-b.in:
+		case p := <-b.queue:
 			batch = append(batch, p)
-		case <-full:
+		case <-timeout:
 			return batch
 		}
 	}
 	return batch
 }
 
-func (b *batcher) send(ctx context.Context, batch []pending) {
+func (b *batcher) flush(ctx context.Context, batch []pendingAppend) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	records := make([]claim.Record, 0, len(batch))
@@ -93,9 +95,9 @@
 	data := claim.Encode(records)
 	offset, err := b.log.Append(ctx, b.stream, data)
 	if err == nil {
-		b.landed(offset, data)
+		b.onAppended(offset, data)
 	}
 	for _, p := range batch {
-		p.done <- appended{offset: offset, err: err}
+		p.done <- appendResult{offset: offset, err: err}
 	}
 }
--- a/io/claims/doc.go
+++ b/io/claims/doc.go
@@ -1,2 +1,3 @@
-// Package claims keeps the claims of calls that may not be repeated on the platform's log.
+// Package claims claims the idempotency keys of requests that may run at most once, through records on the platform's
+// log.
 package claims
--- a/io/claims/partitions.go
+++ b/io/claims/partitions.go
@@ -14,126 +14,129 @@
 	"savoryfall/core/claim"
 )
 
-// Members says which router keeps a partition.
+// Members determines which router is responsible for a partition.
 type Members interface {
 	Duty(duty string) (name string)
 	Mine(duty string, n int) bool
 }
 
-// Peers carry a claim to the router that keeps its partition.
+// Peers sends a claim to the router responsible for its partition.
 type Peers interface {
 	Claim(ctx context.Context, router string, c claim.Request) (g claim.Grant, err error)
 	Settle(ctx context.Context, router string, g claim.Grant, result claim.Result) (err error)
 }
 
-// Partitions keeps the claims of calls that may run at most once. The keys are split into partitions, each a stream
-// of its own, and the calls of one partition go through one router, so that no router reads them all. Which router
-// that is matters for the cost alone: two that both believe to keep a partition still obey the order of its stream.
+// Partitions claims the keys of requests that may run at most once. The keys are divided into partitions, each with
+// its own stream, and each partition is handled by one router, so that no router has to read all streams. The
+// assignment only affects the cost: if two routers both consider themselves responsible for a partition, the order of
+// its stream still decides.
 type Partitions struct {
-	log     Log
-	logger  log.Logger
-	window  time.Duration
-	term    time.Duration
-	count   int
-	self    string
-	members Members
-	peers   Peers
-	mu      sync.Mutex
-	keepers map[int]*keeper
-	cancel  context.CancelFunc
-	running background.Group
+	log            Log
+	logger         log.Logger
+	window         time.Duration
+	claimTerm      time.Duration
+	partitionCount int
+	self           string
+	members        Members
+	peers          Peers
+	mu             sync.Mutex
+	partitions     map[int]*partition
+	cancel         context.CancelFunc
+	running        background.Group
 }
 
 const (
-	tidyPeriod = time.Second
-	idleLife   = time.Minute
-	startWait  = 2 * time.Second
+	updatePeriod       = time.Second
+	idleTimeout        = time.Minute
+	initialReadTimeout = 2 * time.Second
 )
 
-// New makes the claims of the router self; a key is remembered for the window, and a claim may be acted on for the
+// New creates the claims of the router named self. A key is remembered for the window, and a claim is valid for the
 // term.
-func New(l Log, self string, count int, window, term time.Duration, logger log.Logger) *Partitions {
+func New(l Log, self string, partitionCount int, window, claimTerm time.Duration, logger log.Logger) *Partitions {
 	return &Partitions{
-		log: l, self: self, count: count, window: window, term: term, logger: logger, keepers: map[int]*keeper{},
+		log: l, self: self, partitionCount: partitionCount, window: window, claimTerm: claimTerm, logger: logger, partitions: map[int]*partition{},
 	}
 }
 
-// Use names the members and the way to them; it must be called before Start.
+// Use sets the members and the connection to them; it must be called before Start.
 func (p *Partitions) Use(m Members, peers Peers) { p.members, p.peers = m, peers }
 
-// Start keeps the partitions that are this router's own warm until Stop.
+// Start keeps the partitions assigned to this router loaded until Stop.
 func (p *Partitions) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	p.tidy()
-	p.running.Go(func() { background.Every(ctx, tidyPeriod, func(time.Time) { p.tidy() }) })
+	p.updatePartitions()
+	p.running.Go(func() { background.Every(ctx, updatePeriod, func(time.Time) { p.updatePartitions() }) })
 	return nil
 }
 
-// Stop ends all keepers; requests in flight must have ended before.
+// Stop stops all partitions; requests in progress must have ended before.
 func (p *Partitions) Stop(context.Context) error {
 	p.cancel()
 	p.running.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.keepers {
-		k.stop()
+	for _, part := range p.partitions {
+		part.stop()
 	}
 	return nil
 }
 
-// tidy starts the keepers of this router's own partitions before a caller needs them, and stops idle ones of others.
-func (p *Partitions) tidy() {
-	for n := range p.count {
-		if p.members.Mine(duty(n), 1) {
-			p.keeper(n)
+// updatePartitions loads the partitions assigned to this router before a request needs them, and stops idle ones that
+// are assigned to others.
+func (p *Partitions) updatePartitions() {
+	for n := range p.partitionCount {
+		if p.members.Mine(dutyName(n), 1) {
+			p.partition(n)
 			continue
 		}
-		p.drop(n)
+		p.stopIfIdle(n)
 	}
 }
 
-func (p *Partitions) drop(n int) {
+func (p *Partitions) stopIfIdle(n int) {
 	p.mu.Lock()
-	k := p.keepers[n]
-	idle := k != nil && time.Since(k.idleSince()) >= idleLife
+	part := p.partitions[n]
+	idle := part != nil && time.Since(part.idleSince()) >= idleTimeout
 	if idle {
-		delete(p.keepers, n)
+		delete(p.partitions, n)
 	}
 	p.mu.Unlock()
 	if idle {
-		k.stop()
+		part.stop()
 	}
 }
 
-func duty(n int) string { return fmt.Sprint("claims/", n) }
+func dutyName(n int) string { return fmt.Sprint("claims/", n) }
 
-// Stream names the stream of a partition.
+// Stream returns the name of a partition's stream.
 func Stream(n int) string { return fmt.Sprint("claims-", n) }
 
-// PartitionOf is where a key belongs among so many partitions.
+// PartitionOf returns the partition of a key, given the number of partitions.
 func PartitionOf(account, key string, count int) int {
 	return int(xxhash.Sum64String(account+"\x00"+key) % uint64(count))
 }
 
-func (p *Partitions) keeper(n int) *keeper {
+func (p *Partitions) partition(n int) *partition {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.keepers[n]
-	if k == nil {
-		k = newKeeper(p.log, Stream(n), p.window, p.term, p.logger)
-		p.keepers[n] = k
+	part := p.partitions[n]
+	if part == nil {
+		part = newPartition(p.log, Stream(n), p.window, p.claimTerm, p.logger)
+		p.partitions[n] = part
 	}
-	return k
+	return part
 }
 
-// Claim gets the right to send a call from whoever keeps its partition, or from the stream itself when that router
-// does not answer. Its attempt stays the same, so that a claim which that router has made all the same is found and
-// not made twice. The term is measured here, from before the claim was asked for.
+// Claim obtains the right to send a request from the router responsible for its partition, or from the stream directly
+// if that router doesn't answer. Both use the same attempt ID, so that a claim which the other router has made in
+// spite of the error is found rather than made again. The term is measured on this router, from before the claim was
+// requested.
 func (p *Partitions) Claim(ctx context.Context, c claim.Request) (g claim.Grant, err error) {
-	began := time.Now()
-	n := PartitionOf(c.Account, c.Key, p.count)
-	owner := p.members.Duty(duty(n))
+	start := time.Now()
+	n := PartitionOf(c.Account, c.Key, p.partitionCount)
+	owner := p.members.Duty(dutyName(n))
 	if owner != p.self {
 		g, err = p.peers.Claim(ctx, owner, c)
 	}
@@ -142,39 +145,39 @@
 		g, err = p.ClaimHere(ctx, c)
 	}
 	g.Claim = c
-	g.Expires = began.Add(p.term)
+	g.Expires = start.Add(p.claimTerm)
 	return g, err
 }
 
-// ClaimHere claims a call on this router, whoever keeps its partition.
+// ClaimHere makes a claim on this router, whichever router is responsible for the partition.
 func (p *Partitions) ClaimHere(ctx context.Context, c claim.Request) (g claim.Grant, err error) {
-	k := p.keeper(PartitionOf(c.Account, c.Key, p.count))
-	ready, cancel := context.WithTimeout(ctx, startWait)
+	part := p.partition(PartitionOf(c.Account, c.Key, p.partitionCount))
+	readCtx, cancel := context.WithTimeout(ctx, initialReadTimeout)
 	defer cancel()
-	k.awaitStart(ready)
-	return k.claim(ctx, c)
+	part.awaitInitialRead(readCtx)
+	return part.claim(ctx, c)
 }
 
-// Settle puts the outcome of a granted call on the log.
+// Settle records the outcome of a claimed request on the log.
 func (p *Partitions) Settle(ctx context.Context, g claim.Grant, result claim.Result) {
-	owner := p.members.Duty(duty(PartitionOf(g.Claim.Account, g.Claim.Key, p.count)))
+	owner := p.members.Duty(dutyName(PartitionOf(g.Claim.Account, g.Claim.Key, p.partitionCount)))
 	if owner != p.self && p.peers.Settle(ctx, owner, g, result) == nil {
 		return
 	}
 	p.SettleHere(ctx, g, result)
 }
 
-// SettleHere puts the outcome on the log from this router.
+// SettleHere records the outcome on the log from this router.
 func (p *Partitions) SettleHere(ctx context.Context, g claim.Grant, result claim.Result) {
-	p.keeper(PartitionOf(g.Claim.Account, g.Claim.Key, p.count)).settle(ctx, g, result)
+	p.partition(PartitionOf(g.Claim.Account, g.Claim.Key, p.partitionCount)).settle(ctx, g, result)
 }
 
-// Len is how many keys this router remembers.
+// Len returns the number of keys that this router remembers.
 func (p *Partitions) Len() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.keepers {
-		n += k.len()
+	for _, part := range p.partitions {
+		n += part.len()
 	}
 	return n
 }
