--- a/io/caller/body.go
+++ b/io/caller/body.go
@@ -9,121 +9,126 @@
 	"time"
 )
 
-// callerBody is the body of a request. It bounds the time for which its caller is waited for, and counts no other: while
-// the body is passed on, its reader is the endpoint's connection, and a deadline that ran on would cut the call of a caller
-// who has sent everything, whenever the endpoint reads slowly.
-type callerBody struct {
+// requestBody is the body of a request. It limits the time spent waiting for the client, and counts no other time:
+// while the body is streamed to the endpoint, a deadline that also ran between reads would fail the request of a
+// client that has sent everything whenever the endpoint reads slowly.
+type requestBody struct {
 	body    io.Reader
 	control *http.ResponseController
 
 	mu sync.Mutex
-	// left is how much longer the caller may be waited for, until when that is over for the present read.
-	left    time.Duration
-	until   time.Time
-	reading bool
-	// whole tells that the end was read: from then on net/http reads, to notice that the caller goes, and without a deadline.
-	whole bool
-	// answered tells that the deadline stands and reads leave it alone, ended that net/http has the connection back.
-	answered bool
-	ended    bool
-	late     bool
+	// remaining is how much longer to wait for the client, and deadline when that ends for the current read.
+	remaining time.Duration
+	deadline  time.Time
+	reading   bool
+	// complete is set once the body has been read to its end. From then on net/http reads from the connection, without
+	// a deadline, to notice when the client disconnects.
+	complete bool
+	// deadlineFixed is set when reads must no longer change the deadline, and ended when net/http owns the connection
+	// again.
+	deadlineFixed bool
+	ended         bool
+	timedOut      bool
 }
 
-func newCallerBody(w http.ResponseWriter, r *http.Request, limit int64, patience time.Duration) *callerBody {
-	b := &callerBody{control: http.NewResponseController(w), left: patience, whole: r.Body == nil || r.Body == http.NoBody}
-	if !b.whole {
+func newRequestBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) *requestBody {
+	b := &requestBody{control: http.NewResponseController(w), remaining: timeout, complete: r.Body == nil || r.Body == http.NoBody}
+	if !b.complete {
 		b.body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	return b
 }
 
-// Read reads with a deadline that holds for this read only.
-func (b *callerBody) Read(p []byte) (n int, err error) {
+// Read reads with a deadline that applies to this read only.
+func (b *requestBody) Read(p []byte) (n int, err error) {
 	if b.body == nil {
 		return 0, io.EOF
 	}
-	began := time.Now()
-	b.await()
+	start := time.Now()
+	b.beginRead()
 	n, err = b.body.Read(p)
-	b.took(time.Since(began), err)
+	b.endRead(time.Since(start), err)
 	return n, err
 }
 
-func (b *callerBody) await() {
+func (b *requestBody) beginRead() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reading = true
-	b.bound(b.left)
+	b.setDeadline(b.remaining)
 }
 
-// bound sets the deadline, unless it stands or nothing is left to wait for.
-func (b *callerBody) bound(d time.Duration) {
-	if b.whole || b.answered {
+// setDeadline sets the read deadline, unless the body is complete or the deadline is fixed.
+func (b *requestBody) setDeadline(timeout time.Duration) {
+	if b.complete || b.deadlineFixed {
 		return
 	}
-	b.until = time.Now().Add(d)
-	_ = b.control.SetReadDeadline(b.until)
+	b.deadline = time.Now().Add(timeout)
+	_ = b.control.SetReadDeadline(b.deadline)
 }
 
-// took notes how a read ended. After an error the deadline stays: net/http reads on before it answers, and would wait for
-// the rest for ever.
-func (b *callerBody) took(d time.Duration, err error) {
+// endRead records how a read has ended. After an error the deadline stays in place: before it responds, net/http reads
+// the rest of the body, and without a deadline it would wait forever.
+func (b *requestBody) endRead(elapsed time.Duration, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reading = false
-	b.left -= d
+	b.remaining -= elapsed
 	switch {
 	case errors.Is(err, io.EOF):
-		b.whole = true
-		// The deadline may have been set between the end of the body and here. Not once net/http has the connection back: it
-		// ends its own read by a deadline, and would wait for that read for ever.
-		if b.answered && !b.ended {
+		b.complete = true
+		// The deadline may have been set between the end of the body and this point. It must not be cleared once
+		// net/http owns the connection again: net/http ends its own background read by setting a deadline, and would
+		// wait forever for that read.
+		if b.deadlineFixed && !b.ended {
 			_ = b.control.SetReadDeadline(time.Time{})
 		}
 	case err != nil:
-		b.late = b.late || errors.Is(err, os.ErrDeadlineExceeded)
-	case !b.answered:
+		b.timedOut = b.timedOut || errors.Is(err, os.ErrDeadlineExceeded)
+	case !b.deadlineFixed:
 		_ = b.control.SetReadDeadline(time.Time{})
 	}
 }
 
-// answer lets the deadline stand from the beginning of the answer, which may come before the end of the body: net/http then
-// reads what is left by itself, or waits for who does, before it sends the answer.
-func (b *callerBody) answer() {
+// startResponse fixes the deadline when the response starts, which may be before the body has been read: net/http then
+// reads the rest, or waits for whoever is reading it, before it sends the response.
+func (b *requestBody) startResponse() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stand(b.left)
+	b.fixDeadline(b.remaining)
 }
 
-// restOfBody is how long the rest of a body that nobody wants is waited for: longer than a process may stand still whose
-// core is shared, for the body may lie there unread.
-const restOfBody = 300 * time.Millisecond
+// discardTimeout limits the wait for the rest of an unwanted body. It is longer than a process on a shared core may be
+// paused, during which the body may have arrived without having been read.
+const discardTimeout = 300 * time.Millisecond
 
-// giveUp is called before an answer that does not need the body. net/http reads what is left of it before it sends the
-// answer, so that the connection can be kept; without a bound, a body that stalls would hold the answer back for ever.
-func (b *callerBody) giveUp() {
+// discard is called before a response that doesn't need the body. To keep the connection open, net/http reads the rest
+// of the body before it sends the response; without a deadline, a stalled body would delay the response forever.
+func (b *requestBody) discard() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stand(restOfBody)
+	b.fixDeadline(discardTimeout)
 }
 
-// end is called when the handler ends: an attempt may still read, and must not touch the deadline any more.
-func (b *callerBody) end() {
+// end is called when the handler returns: an attempt may still be reading the body, and must no longer change the
+// deadline.
+func (b *requestBody) end() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stand(restOfBody)
+	b.fixDeadline(discardTimeout)
 	b.ended = true
 }
 
-func (b *callerBody) stand(d time.Duration) {
-	b.bound(d)
-	b.answered = true
+func (b *requestBody) fixDeadline(timeout time.Duration) {
+	b.setDeadline(timeout)
+	b.deadlineFixed = true
 }
 
-// tooLate tells whether the caller took too long. A read whose time is over counts before it returns: the request's context
-// ends first, and with it the attempt.
-func (b *callerBody) tooLate() bool {
+// hasTimedOut reports whether the client took too long to send the body. It also counts a read that hasn't returned
+// although its deadline has passed, because the request's context, and with it the attempt, ends before the read
+// returns.
+func (b *requestBody) hasTimedOut() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.late || b.reading && !time.Now().Before(b.until)
+	return b.timedOut || b.reading && !time.Now().Before(b.deadline)
 }
--- a/io/caller/completions.go
+++ b/io/caller/chathandler.go
@@ -18,7 +18,7 @@
 )
 
 func (f *Front) completions(w http.ResponseWriter, r *http.Request) {
-	x := f.begin(w, r)
+	x := f.newExchange(w, r)
 	defer x.end()
 	c, p := x.readChat()
 	if p != nil {
@@ -26,13 +26,13 @@
 		return
 	}
 	pool := ledger.PoolOfModel(c.Model())
-	leave, p := x.enter(pool)
+	release, p := x.admit(pool)
 	if p != nil {
 		x.fail(p)
 		return
 	}
-	defer leave()
-	newAnswer(x, c, pool).run()
+	defer release()
+	newCompletion(x, c, pool).run()
 }
 
 func (x *exchange) readChat() (c *chat.Chat, p *problem) {
@@ -57,9 +57,9 @@
 	return c, nil
 }
 
-// warmByTicket is where the caller's ticket says that the chat is warm; a ticket of another incarnation is void,
-// because the restart has emptied the cache.
-func (x *exchange) warmByTicket() string {
+// endpointFromTicket returns the endpoint that has the chat in its cache according to the client's ticket. A ticket of
+// another incarnation of the endpoint is ignored, because a restart empties the cache.
+func (x *exchange) endpointFromTicket() string {
 	sealed := x.r.Header.Get(header.Ticket)
 	if cookie, err := x.r.Cookie(ticketCookie); err == nil && sealed == "" {
 		sealed = cookie.Value
@@ -73,7 +73,7 @@
 
 const ticketCookie = "savoryfallTicket"
 
-func (x *exchange) giveTicket(endpointName string) {
+func (x *exchange) setTicket(endpointName string) {
 	sealed := x.front.Tickets.Seal(endpointName, x.front.Health.Incarnation(endpointName))
 	if sealed == "" {
 		return
@@ -82,7 +82,7 @@
 	http.SetCookie(x.w, &http.Cookie{Name: ticketCookie, Value: sealed, HttpOnly: true, SameSite: http.SameSiteLaxMode})
 }
 
-// place chooses an endpoint and notes why.
+// place selects an endpoint and records the reasons.
 func (x *exchange) place(q ledger.Query) (a *decision.Attempt, choice ledger.Choice, ok bool) {
 	_, span := x.front.Tracer.Start(x.ctx, "place")
 	defer span.End()
@@ -95,43 +95,43 @@
 	return &x.decision.Attempts[len(x.decision.Attempts)-1], choice, choice.Endpoint != ""
 }
 
-// close notes how an attempt ended.
-func closeAttempt(a *decision.Attempt, began time.Time, p *problem) {
-	a.Ms = time.Since(began).Milliseconds()
+// recordAttempt records how an attempt ended.
+func recordAttempt(a *decision.Attempt, start time.Time, p *problem) {
+	a.Ms = time.Since(start).Milliseconds()
 	a.Outcome = outcome.Ran
 	if p != nil {
 		a.Outcome, a.Problem, a.Unreached = p.outcome, p.message, p.unreached
 	}
 }
 
-// problemOf says what the failure of an attempt means for the caller.
+// problemOf converts the error of an attempt into the problem that is reported to the client.
 func (x *exchange) problemOf(err error) *problem {
-	told := outcome.Unknown
-	var f *endpoint.Failure
+	result := outcome.Unknown
+	var f *endpoint.AttemptError
 	if errors.As(err, &f) {
-		told = f.Outcome
+		result = f.Outcome
 	}
-	// Before the context, which net/http ends with any error of a read, also with that of a deadline.
-	if x.body.tooLate() {
-		return slowBody(told)
+	// Checked before the context: net/http cancels it after any read error, including a passed deadline.
+	if x.body.hasTimedOut() {
+		return bodyTimeout(result)
 	}
 	if x.ctx.Err() != nil {
-		return x.interrupted(told)
+		return x.contextProblem(result)
 	}
 	if f == nil || f.Outcome != outcome.NotRun {
-		return failed(err.Error(), told)
+		return endpointFailed(err.Error(), result)
 	}
-	p := unavailable(err.Error(), told)
+	p := unavailable(err.Error(), result)
 	p.unreached = f.Status == 0
 	return p
 }
 
-// maxTries bounds all tries for one request, those that reached nobody as well.
+// maxTries limits the attempts for one request, including those that reached no endpoint.
 const maxTries = 10
 
-// mayRetry bounds the attempts that reached an endpoint, and has them paid from the budget. Those that got no
-// connection have cost nobody anything, and when half of the endpoints die at once a request meets several in a row;
-// they are bounded by maxTries alone.
+// mayRetry limits the attempts that reached an endpoint, and charges each retry to the budget. Attempts that got no
+// connection cost the endpoints nothing, and a request meets several in a row when half of the endpoints fail at once;
+// they are limited by maxTries only.
 func (x *exchange) mayRetry(pool string, excluded int, p *problem) bool {
 	tries, reached := len(x.decision.Attempts), 0
 	for _, at := range x.decision.Attempts {
@@ -152,6 +152,6 @@
 		return
 	}
 	cached, _ := strconv.Atoi(resp.Header.Get(header.CachedTokens))
-	x.front.figures.promptTokens.Add(prompt)
-	x.front.figures.cachedTokens.Add(cached)
+	x.front.requestMetrics.promptTokens.Add(prompt)
+	x.front.requestMetrics.cachedTokens.Add(cached)
 }
--- /dev/null
+++ b/io/caller/completion.go
@@ -0,0 +1,370 @@
+package caller
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/tmaxmax/go-sse"
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"savoryfall/core/chat"
+	"savoryfall/core/decision"
+	"savoryfall/core/header"
+	"savoryfall/core/ledger"
+	"savoryfall/core/outcome"
+	"savoryfall/core/spills"
+	"savoryfall/io/endpoint"
+)
+
+const (
+	completionsPath  = "/v1/chat/completions"
+	maxEventBytes    = 1 << 20
+	maxResponseBytes = 64 << 20
+	doneMarker       = "[DONE]"
+	// bytesPerToken converts text lengths to token counts where only proportions matter.
+	bytesPerToken = 4
+	// estimateInterval is how many tokens pass between two updates of the expected number of remaining tokens.
+	estimateInterval = 16
+)
+
+// errEndpointSilent cancels an attempt whose endpoint has sent nothing for too long.
+var errEndpointSilent = errors.New("the endpoint was silent for too long")
+
+// completion delivers one complete chat completion to its client, resuming it on other engines if attempts fail.
+type completion struct {
+	x               *exchange
+	chat            *chat.Chat
+	pool            string
+	class           string
+	key             uint64
+	excluded        []string
+	content         strings.Builder
+	responseID      string
+	started         bool
+	generatedTokens int
+	cacheValue      float64
+}
+
+func newCompletion(x *exchange, c *chat.Chat, pool string) *completion {
+	a := &completion{x: x, chat: c, pool: pool, class: x.account.Name() + "/" + c.Model()}
+	a.key = c.Key(x.account.Name(), x.r.Header.Get(header.Chat))
+	if c.Returning() {
+		a.cacheValue = x.front.Worth.Of(pool, len(c.Body()))
+	}
+	x.decision.Key = fmt.Sprintf("%016x", a.key)
+	return a
+}
+
+// run tries engines until the response is complete or the request has to be given up. A completion may be repeated,
+// because it has no side effects.
+func (a *completion) run() {
+	a.x.front.Retries.First(a.pool)
+	warm := a.warmEndpoint()
+	for {
+		p := a.attempt(warm)
+		if p == nil {
+			return
+		}
+		if p.status < http.StatusInternalServerError || !a.x.mayRetry(a.pool, len(a.excluded), p) {
+			a.reportFailure(p)
+			return
+		}
+		a.x.front.requestMetrics.retries.Inc()
+	}
+}
+
+// warmEndpoint returns the endpoint that has the chat in its cache according to the client's ticket or, without a
+// ticket, according to the spills that this router and its peers have recorded.
+func (a *completion) warmEndpoint() string {
+	f := a.x.front
+	if name := a.x.endpointFromTicket(); name != "" {
+		return name
+	}
+	if !a.chat.Returning() {
+		return ""
+	}
+	spilled, ok := f.Spills.Find(a.key)
+	if !ok {
+		return ""
+	}
+	return f.Ledger.ByHash(func(hash uint64) bool { return spills.Names(spilled, hash) })
+}
+
+// announceSpill tells the other routers which endpoint has the chat in its cache, unless they would choose it anyway,
+// because it ranks first and no other endpoint was announced.
+func (a *completion) announceSpill(c ledger.Choice, warm string) {
+	f := a.x.front
+	_, announced := f.Spills.Find(a.key)
+	if c.First && !announced {
+		return
+	}
+	if c.Endpoint != warm || !a.chat.Returning() {
+		f.Spills.Add(a.key, c.Hash, time.Now())
+	}
+}
+
+// reportFailure reports the failure to the client: as an HTTP error, or as an event if the stream has started. Such a
+// stream has no end marker, so that the client cannot mistake it for a complete one.
+func (a *completion) reportFailure(p *problem) {
+	x := a.x
+	if !a.started {
+		x.fail(p)
+		return
+	}
+	x.reported(http.StatusOK, p.outcome, p.message)
+	fmt.Fprintf(x.w, "data: %s\n\n", p.body(x.requestID))
+	_ = http.NewResponseController(x.w).Flush()
+}
+
+func (a *completion) attempt(warm string) (p *problem) {
+	f := a.x.front
+	expected := f.Tokens.Remaining(a.class, a.generatedTokens)
+	at, choice, ok := a.x.place(ledger.Query{
+		Pool: a.pool, Key: a.key, Warm: warm, Returning: a.chat.Returning(), Worth: a.cacheValue, Tokens: expected,
+		Exclude: a.excluded,
+	})
+	if !ok {
+		at.Outcome = outcome.NotRun
+		return unavailable("no endpoint of "+a.pool+" takes new work", a.outcomeSoFar())
+	}
+	a.excluded = append(a.excluded, at.Endpoint)
+	a.announceSpill(choice, warm)
+	f.requestMetrics.attempts.Inc()
+	flight := f.Ledger.Send(at.Endpoint, expected)
+	defer flight.End()
+	start := time.Now()
+	p = a.send(at, flight)
+	recordAttempt(at, start, p)
+	if p != nil && p.outcome == outcome.NotRun {
+		p.outcome = a.outcomeSoFar()
+	}
+	return p
+}
+
+// outcomeSoFar is unknown once any engine may have processed the request.
+func (a *completion) outcomeSoFar() outcome.Outcome {
+	for _, at := range a.x.decision.Attempts {
+		if at.Outcome == outcome.Unknown || at.Outcome == outcome.Ran {
+			return outcome.Unknown
+		}
+	}
+	return outcome.NotRun
+}
+
+func (a *completion) send(at *decision.Attempt, flight *ledger.Flight) (p *problem) {
+	x, f := a.x, a.x.front
+	ctx, cancel := context.WithCancelCause(x.ctx)
+	defer cancel(nil)
+	ctx, span := f.Tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient),
+		trace.WithAttributes(attribute.String("endpoint", at.Endpoint), attribute.String("attempt", at.ID)))
+	defer span.End()
+	silence := time.AfterFunc(f.Limits.FirstToken(), func() { cancel(errEndpointSilent) })
+	defer silence.Stop()
+	call, err := a.call(at)
+	if err != nil {
+		return endpointFailed(err.Error(), outcome.NotRun)
+	}
+	resp, err := f.Endpoints.Do(ctx, call)
+	if err != nil {
+		return a.problemOf(ctx, err)
+	}
+	defer resp.Body.Close()
+	err = a.read(resp, at, flight, silence)
+	if err != nil {
+		return a.problemOf(ctx, err)
+	}
+	return nil
+}
+
+func (a *completion) problemOf(ctx context.Context, err error) (p *problem) {
+	var mismatched endpoint.MismatchError
+	if errors.As(err, &mismatched) {
+		a.x.front.requestMetrics.mismatched.Inc()
+	}
+	if cause := context.Cause(ctx); errors.Is(cause, errEndpointSilent) {
+		err = fmt.Errorf("%w: %w", cause, err)
+	}
+	var gone clientGoneError
+	if errors.As(err, &gone) {
+		a.x.cancel()
+	}
+	return a.x.problemOf(err)
+}
+
+func (a *completion) call(at *decision.Attempt) (c endpoint.Call, err error) {
+	e, _ := a.x.config.Endpoint(at.Endpoint)
+	body := a.chat.Body()
+	if a.content.Len() > 0 {
+		body, err = a.chat.Resumed(a.content.String())
+		a.x.front.requestMetrics.resumed.Inc()
+	}
+	h := http.Header{}
+	h.Set("Content-Type", "application/json")
+	h.Set(header.Priority, fmt.Sprint(priorityOf(a.generatedTokens)))
+	return endpoint.Call{
+		Endpoint: e.Name(), Address: e.Address(), Method: http.MethodPost, Path: completionsPath, Header: h,
+		Body: bytes.NewReader(body), Length: int64(len(body)), Request: a.x.requestID, Attempt: at.ID, Echoes: e.Echoes(),
+	}, err
+}
+
+// read passes on the engine's response, and returns an error if it is incomplete.
+func (a *completion) read(resp *http.Response, at *decision.Attempt, flight *ledger.Flight, silence *time.Timer) (err error) {
+	a.x.countPrompt(resp)
+	if resp.StatusCode >= http.StatusInternalServerError {
+		return endpoint.StatusError{Status: resp.StatusCode}
+	}
+	if resp.StatusCode >= http.StatusBadRequest || !a.chat.Stream() {
+		return a.readWhole(resp, at)
+	}
+	return a.readStream(resp, at, flight, silence)
+}
+
+// readWhole passes a response on only after it has arrived completely and was found to be valid JSON.
+func (a *completion) readWhole(resp *http.Response, at *decision.Attempt) (err error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	if err != nil {
+		return err
+	}
+	if resp.StatusCode == http.StatusOK && !json.Valid(body) {
+		return InvalidResponseError{Reason: "its body is not JSON"}
+	}
+	x := a.x
+	x.firstByteAfter = time.Since(x.startedAt)
+	a.writeHeaders(at, resp.Header.Get("Content-Type"))
+	x.w.WriteHeader(resp.StatusCode)
+	_, _ = x.w.Write(body)
+	x.reported(resp.StatusCode, outcome.Ran, "")
+	x.front.Tokens.Observe(a.class, len(body)/bytesPerToken)
+	return nil
+}
+
+// InvalidResponseError is returned for a response that is incomplete or doesn't conform to the protocol.
+type InvalidResponseError struct{ Reason string }
+
+func (e InvalidResponseError) Error() string { return "broken answer: " + e.Reason }
+
+// writeHeaders sets the response headers. They name the endpoint only within the sealed ticket.
+func (a *completion) writeHeaders(at *decision.Attempt, contentType string) {
+	if a.started {
+		return
+	}
+	x := a.x
+	x.firstByteAfter = time.Since(x.startedAt)
+	x.front.requestMetrics.firstToken.Update(x.firstByteAfter.Seconds())
+	x.setTicket(at.Endpoint)
+	x.front.setConnectionClose(x.w.Header())
+	x.w.Header().Set("Content-Type", contentType)
+	x.w.Header().Set(header.Outcome, string(outcome.Ran))
+}
+
+// clientGoneError is returned when writing to the client fails.
+type clientGoneError struct{ error }
+
+type chunk struct {
+	ID      string `json:"id"`
+	Choices []struct {
+		Delta struct {
+			Content string `json:"content"`
+		} `json:"delta"`
+	} `json:"choices"`
+	Error json.RawMessage `json:"error"`
+}
+
+// readStream passes events on as they arrive. The response is complete only if the stream ends with the end marker.
+func (a *completion) readStream(resp *http.Response, at *decision.Attempt, flight *ledger.Flight, silence *time.Timer) (err error) {
+	controller := http.NewResponseController(a.x.w)
+	streamID := ""
+	for ev, err := range sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
+		if err != nil {
+			return err
+		}
+		silence.Reset(a.x.front.Limits.BetweenTokens())
+		if ev.Data == doneMarker {
+			return a.finish(controller)
+		}
+		data, err := a.checkEvent(ev.Data, &streamID)
+		if err != nil {
+			return err
+		}
+		a.writeHeaders(at, "text/event-stream")
+		a.started = true
+		_, err = fmt.Fprintf(a.x.w, "data: %s\n\n", data)
+		if err != nil {
+			return clientGoneError{err}
+		}
+		_ = controller.Flush()
+		a.updateExpectedTokens(flight)
+	}
+	return InvalidResponseError{Reason: "the stream ended without its end mark"}
+}
+
+// checkEvent validates one event. In a resumed stream, it replaces the engine's response ID by the one that the client
+// has received.
+func (a *completion) checkEvent(data string, streamID *string) (out string, err error) {
+	var c chunk
+	err = json.Unmarshal([]byte(data), &c)
+	if err != nil {
+		return "", InvalidResponseError{Reason: "an event is not JSON"}
+	}
+	if len(c.Error) > 0 {
+		return "", InvalidResponseError{Reason: "the engine sent an error event"}
+	}
+	if *streamID == "" {
+		*streamID = c.ID
+	}
+	if c.ID != *streamID {
+		return "", endpoint.MismatchError{Want: *streamID, Got: c.ID}
+	}
+	if a.responseID == "" {
+		a.responseID = c.ID
+	}
+	for _, choice := range c.Choices {
+		a.content.WriteString(choice.Delta.Content)
+	}
+	if c.ID == a.responseID {
+		return data, nil
+	}
+	return strings.Replace(data, `"`+c.ID+`"`, `"`+a.responseID+`"`, 1), nil
+}
+
+// updateExpectedTokens updates the load that the rest of the response is expected to put on the endpoint.
+func (a *completion) updateExpectedTokens(flight *ledger.Flight) {
+	generatedTokens := a.content.Len() / bytesPerToken
+	if generatedTokens/estimateInterval != a.generatedTokens/estimateInterval {
+		flight.Expect(a.x.front.Tokens.Remaining(a.class, generatedTokens))
+	}
+	a.generatedTokens = generatedTokens
+}
+
+func (a *completion) finish(controller *http.ResponseController) (err error) {
+	_, err = fmt.Fprintf(a.x.w, "data: %s\n\n", doneMarker)
+	_ = controller.Flush()
+	a.x.reported(http.StatusOK, outcome.Ran, "")
+	a.x.front.Tokens.Observe(a.class, a.generatedTokens)
+	return err
+}
+
+// Priorities by the number of generated tokens: the priority number grows by one at 64, 256, 1024 and 4096 tokens, and
+// a lower number is served first.
+const (
+	firstPriorityStep  = 64
+	priorityStepFactor = 4
+	lowestPriority     = 4
+)
+
+// priorityOf lowers the priority of a request as tokens are generated for it. Clients don't declare which requests are
+// short, but a request that has received many tokens is not.
+func priorityOf(generatedTokens int) (priority int) {
+	for step := firstPriorityStep; generatedTokens >= step && priority < lowestPriority; step *= priorityStepFactor {
+		priority++
+	}
+	return priority
+}
--- a/io/caller/doc.go
+++ b/io/caller/doc.go
@@ -1,2 +1,3 @@
-// Package caller serves callers: the OpenAI HTTP protocol and plain services by path.
+// Package caller serves the clients' HTTP requests: the OpenAI chat completions protocol, and plain services (any
+// other HTTP service), which are selected by path.
 package caller
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -22,50 +22,50 @@
 	"savoryfall/io/tracing"
 )
 
-// exchange is one request of a caller from its arrival to its last byte.
+// exchange is one client request, from its arrival to the last byte of its response.
 type exchange struct {
-	front    *Front
-	w        http.ResponseWriter
-	r        *http.Request
-	ctx      context.Context
-	cancel   context.CancelFunc
-	span     trace.Span
-	id       string
-	began    time.Time
-	config   *inforce.Configuration
-	account  account.Account
-	body     *callerBody
-	decision *decision.Decision
-	first    time.Duration
-	cut      bool
+	front          *Front
+	w              http.ResponseWriter
+	r              *http.Request
+	ctx            context.Context
+	cancel         context.CancelFunc
+	span           trace.Span
+	requestID      string
+	startedAt      time.Time
+	config         *inforce.Configuration
+	account        account.Account
+	body           *requestBody
+	decision       *decision.Decision
+	firstByteAfter time.Duration
+	abort          bool
 }
 
-func (f *Front) begin(w http.ResponseWriter, r *http.Request) (x *exchange) {
-	x = &exchange{front: f, w: w, r: r, id: uuid.NewString(), began: time.Now(), config: f.Configuration.Current()}
+func (f *Front) newExchange(w http.ResponseWriter, r *http.Request) (x *exchange) {
+	x = &exchange{front: f, w: w, r: r, requestID: uuid.NewString(), startedAt: time.Now(), config: f.Configuration.Current()}
 	ctx := tracing.Propagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, x.span = f.Tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer),
-		trace.WithAttributes(attribute.String("request", x.id), attribute.String("path", r.URL.Path)))
-	x.ctx, x.cancel = context.WithTimeout(ctx, f.deadline(r))
-	x.decision = &decision.Decision{Request: x.id, At: x.began}
-	x.body = newCallerBody(w, r, f.Callers.MaxBody(), f.Callers.BodyTimeout())
-	w.Header().Set(header.Request, x.id)
+		trace.WithAttributes(attribute.String("request", x.requestID), attribute.String("path", r.URL.Path)))
+	x.ctx, x.cancel = context.WithTimeout(ctx, f.timeout(r))
+	x.decision = &decision.Decision{Request: x.requestID, At: x.startedAt}
+	x.body = newRequestBody(w, r, f.Callers.MaxBody(), f.Callers.BodyTimeout())
+	w.Header().Set(header.Request, x.requestID)
 	return x
 }
 
-// end leaves one log line, one span and one decision behind.
+// end writes one log line, ends the span and stores the decision.
 func (x *exchange) end() {
 	x.cancel()
 	x.body.end()
 	d, f := x.decision, x.front
-	took := time.Since(x.began)
+	elapsed := time.Since(x.startedAt)
 	x.span.SetAttributes(attribute.Int("status", d.Status), attribute.String("outcome", string(d.Told)))
 	x.span.End()
 	f.Decisions.Add(d)
-	f.figures.request(d.Status, d.Told, took)
-	_ = f.Logger.Log("event", "request", "request", x.id, "account", d.Account, "pool", d.Pool,
+	f.requestMetrics.observe(d.Status, d.Told, elapsed)
+	_ = f.Logger.Log("event", "request", "request", x.requestID, "account", d.Account, "pool", d.Pool,
 		"endpoint", lastEndpoint(d), "attempts", len(d.Attempts), "status", d.Status, "outcome", d.Told,
-		"firstMs", x.first.Milliseconds(), "ms", took.Milliseconds(), "problem", d.Problem)
-	if x.cut {
+		"firstMs", x.firstByteAfter.Milliseconds(), "ms", elapsed.Milliseconds(), "problem", d.Problem)
+	if x.abort {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -77,16 +77,17 @@
 	return d.Attempts[len(d.Attempts)-1].Endpoint
 }
 
-// fail tells the caller, at once, that the request is given up.
+// fail responds to the client with the problem, without waiting for the rest of the request body.
 func (x *exchange) fail(p *problem) {
-	x.told(p.status, p.outcome, p.message)
-	x.front.closing(x.w.Header())
-	x.body.giveUp()
-	p.write(x.w, x.id)
+	x.reported(p.status, p.outcome, p.message)
+	x.front.setConnectionClose(x.w.Header())
+	x.body.discard()
+	p.write(x.w, x.requestID)
 }
 
-func (x *exchange) told(status int, told outcome.Outcome, problem string) {
-	x.decision.Status, x.decision.Told, x.decision.Problem = status, told, problem
+// reported records what was reported to the client.
+func (x *exchange) reported(status int, reported outcome.Outcome, problem string) {
+	x.decision.Status, x.decision.Told, x.decision.Problem = status, reported, problem
 }
 
 // authenticate finds the client account by the digest of its bearer key.
@@ -96,18 +97,18 @@
 	}
 	key, found := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
 	if !found {
-		return wrongKey()
+		return invalidKey()
 	}
 	a, known := x.config.Account(account.Digest(key))
 	if !known {
-		return wrongKey()
+		return invalidKey()
 	}
 	x.account = a
 	x.decision.Account = a.Name()
 	return nil
 }
 
-// readBody reads the whole body, bounded in bytes and in time.
+// readBody reads the whole body, limited in size and time.
 func (x *exchange) readBody() (body []byte, p *problem) {
 	body, err := io.ReadAll(x.body)
 	if err != nil {
@@ -119,54 +120,54 @@
 func (x *exchange) bodyProblem(err error) *problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return tooLarge(large.Limit)
+		return bodyTooLarge(large.Limit)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return slowBody(outcome.NotRun)
+		return bodyTimeout(outcome.NotRun)
 	}
 	return malformed("body", "the body broke off: "+err.Error())
 }
 
-// enter waits for the request's turn.
-func (x *exchange) enter(pool string) (leave func(), p *problem) {
+// admit waits until the admission queue admits the request.
+func (x *exchange) admit(pool string) (release func(), p *problem) {
 	x.decision.Pool = pool
 	ctx, span := x.front.Tracer.Start(x.ctx, "admission")
 	defer span.End()
-	began := time.Now()
-	leave, err := x.front.Admission.Enter(ctx, x.account.Name(), x.account.Weight(), pool)
-	x.decision.WaitedMs = time.Since(began).Milliseconds()
+	start := time.Now()
+	release, err := x.front.Admission.Enter(ctx, x.account.Name(), x.account.Weight(), pool)
+	x.decision.WaitedMs = time.Since(start).Milliseconds()
 	if err == nil {
-		return leave, nil
+		return release, nil
 	}
 	var shed interface{ RetryAfter() time.Duration }
 	if errors.As(err, &shed) {
 		return nil, overloaded(err.Error(), shed.RetryAfter())
 	}
-	return nil, x.interrupted(outcome.NotRun)
+	return nil, x.contextProblem(outcome.NotRun)
 }
 
-// interrupted says why the context has ended.
-func (x *exchange) interrupted(told outcome.Outcome) *problem {
+// contextProblem returns the problem that corresponds to the end of the request's context.
+func (x *exchange) contextProblem(result outcome.Outcome) *problem {
 	if errors.Is(x.ctx.Err(), context.DeadlineExceeded) {
-		return timedOut(told)
+		return deadlineExceeded(result)
 	}
 	return &problem{
-		status: statusCallerGone, kind: kindServer, code: "caller_gone", message: "the caller has gone", outcome: told,
+		status: statusClientClosedRequest, kind: kindServer, code: "caller_gone", message: "the caller has gone", outcome: result,
 	}
 }
 
-// statusCallerGone is never seen by a caller; it marks the log line.
-const statusCallerGone = 499
+// statusClientClosedRequest is never sent to a client; it appears only in the log.
+const statusClientClosedRequest = 499
 
 func (f *Front) models(w http.ResponseWriter, r *http.Request) {
-	x := f.begin(w, r)
+	x := f.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
 		x.fail(p)
 		return
 	}
-	x.told(http.StatusOK, outcome.Ran, "")
-	f.closing(w.Header())
-	x.body.giveUp()
+	x.reported(http.StatusOK, outcome.Ran, "")
+	f.setConnectionClose(w.Header())
+	x.body.discard()
 	writeModels(w, x.config.Models())
 }
--- a/io/caller/front.go
+++ b/io/caller/front.go
@@ -25,29 +25,29 @@
 	"savoryfall/io/endpoint"
 )
 
-// Configuration gives what is in force.
+// Configuration provides the configuration in force.
 type Configuration interface {
 	Current() *inforce.Configuration
 	Ready() bool
 }
 
-// Endpoints makes attempts.
+// Endpoints sends attempts to endpoints.
 type Endpoints interface {
 	Do(ctx context.Context, call endpoint.Call) (resp *http.Response, err error)
 }
 
-// Admission lets requests in, in their turn.
+// Admission queues requests until they are admitted.
 type Admission interface {
 	Enter(ctx context.Context, account string, weight float64, pool string) (leave func(), err error)
 }
 
-// Claims makes sure that a call that may not be repeated runs at most once.
+// Claims ensures that a request that must not be repeated runs at most once.
 type Claims interface {
 	Claim(ctx context.Context, c claim.Request) (g claim.Grant, err error)
 	Settle(ctx context.Context, g claim.Grant, result claim.Result)
 }
 
-// Parts are the services that the front works with.
+// Parts are the dependencies and settings of a Front.
 type Parts struct {
 	Configuration Configuration
 	Endpoints     Endpoints
@@ -69,58 +69,58 @@
 	Limits        settings.Limits
 }
 
-// Front is the part of a router that callers reach.
+// Front serves the requests of clients.
 type Front struct {
 	Parts
-	draining atomic.Bool
-	figures  figures
+	draining       atomic.Bool
+	requestMetrics requestMetrics
 }
 
-// New makes a front of its parts.
+// New returns a front that uses the given parts.
 func New(p Parts) *Front {
-	return &Front{Parts: p, figures: newFigures(p.Metrics)}
+	return &Front{Parts: p, requestMetrics: newRequestMetrics(p.Metrics)}
 }
 
-// Handler serves callers; what no route names goes to the plain services.
+// Handler returns the HTTP handler; requests that match no route go to the plain services.
 func (f *Front) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.SkipClean(true)
 	m.HandleFunc("/v1/chat/completions", f.completions).Methods(http.MethodPost)
 	m.HandleFunc("/v1/models", f.models).Methods(http.MethodGet)
-	m.HandleFunc("/healthz", f.alive).Methods(http.MethodGet)
+	m.HandleFunc("/healthz", f.healthz).Methods(http.MethodGet)
 	m.HandleFunc("/readyz", f.readyz).Methods(http.MethodGet)
 	m.PathPrefix("/").HandlerFunc(f.plain)
 	return m
 }
 
-// Drain fails the readiness check, so that the balancer sends no more callers; what comes all the same is served, and its
-// callers are asked to leave their connections.
+// Drain makes the readiness check fail, so that the load balancer sends no more clients. Requests that still arrive
+// are served, and their clients are asked to close their connections.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// Draining tells whether this router is stopping.
+// Draining reports whether this router is stopping.
 func (f *Front) Draining() bool { return f.draining.Load() }
 
-// closing asks the caller to leave its connection when this router is stopping: one that stayed would meet the end of the
-// connection, perhaps with its next request on the way.
-func (f *Front) closing(h http.Header) {
+// setConnectionClose asks the client to close its connection if this router is stopping. Otherwise the router would
+// close the connection, possibly while the client's next request is on its way.
+func (f *Front) setConnectionClose(h http.Header) {
 	if f.Draining() {
 		h.Set("Connection", "close")
 	}
 }
 
-// unasked answers without a look at the body.
-func (f *Front) unasked(w http.ResponseWriter, r *http.Request) {
-	f.closing(w.Header())
-	newCallerBody(w, r, f.Callers.MaxBody(), f.Callers.BodyTimeout()).end()
+// discardBody prepares a response that doesn't need the request body.
+func (f *Front) discardBody(w http.ResponseWriter, r *http.Request) {
+	f.setConnectionClose(w.Header())
+	newRequestBody(w, r, f.Callers.MaxBody(), f.Callers.BodyTimeout()).end()
 }
 
-func (f *Front) alive(w http.ResponseWriter, r *http.Request) {
-	f.unasked(w, r)
+func (f *Front) healthz(w http.ResponseWriter, r *http.Request) {
+	f.discardBody(w, r)
 	w.WriteHeader(http.StatusOK)
 }
 
 func (f *Front) readyz(w http.ResponseWriter, r *http.Request) {
-	f.unasked(w, r)
+	f.discardBody(w, r)
 	switch {
 	case f.Draining():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
@@ -131,11 +131,11 @@
 	}
 }
 
-// deadline is the caller's own, bounded by the setting.
-func (f *Front) deadline(r *http.Request) time.Duration {
-	ms, err := time.ParseDuration(r.Header.Get(headerDeadline) + "ms")
-	if err != nil || ms <= 0 || ms > f.Limits.Deadline() {
+// timeout returns the timeout that the client has requested, limited by the setting.
+func (f *Front) timeout(r *http.Request) time.Duration {
+	requested, err := time.ParseDuration(r.Header.Get(headerDeadline) + "ms")
+	if err != nil || requested <= 0 || requested > f.Limits.Deadline() {
 		return f.Limits.Deadline()
 	}
-	return ms
+	return requested
 }
--- a/io/caller/plain.go
+++ b/io/caller/plainservice.go
@@ -22,26 +22,27 @@
 	"savoryfall/io/endpoint"
 )
 
-// replayBytes is how much of a body is held back, so that a call can be sent again.
-const replayBytes = 64 << 10
+// maxReplayBytes is how much of a body is buffered, so that the request can be sent again.
+const maxReplayBytes = 64 << 10
 
-// maxRecorded bounds the answer that is kept with the outcome of a claimed call.
-const maxRecorded = 64 << 10
+// maxRecordedBytes limits the response body that is recorded with the outcome of a claimed request.
+const maxRecordedBytes = 64 << 10
 
-// plainCall is one call of a plain service.
+// plainCall is one request to a plain service.
 type plainCall struct {
-	x          *exchange
-	pool       string
-	repeatable bool
-	head       []byte
-	rest       io.Reader
-	length     int64
-	exclude    []string
-	grant      *claim.Grant
+	x             *exchange
+	pool          string
+	repeatable    bool
+	buffered      []byte
+	unread        io.Reader
+	contentLength int64
+	excluded      []string
+	grant         *claim.Grant
 }
 
+// plain handles a request to a plain service.
 func (f *Front) plain(w http.ResponseWriter, r *http.Request) {
-	x := f.begin(w, r)
+	x := f.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
 		x.fail(p)
@@ -53,12 +54,12 @@
 		return
 	}
 	c := &plainCall{x: x, pool: ledger.PoolOfService(s.Name()), repeatable: s.Repeatable(r.Method, r.URL.Path)}
-	leave, p := x.enter(c.pool)
+	release, p := x.admit(c.pool)
 	if p != nil {
 		x.fail(p)
 		return
 	}
-	defer leave()
+	defer release()
 	p = c.prepare()
 	if p != nil {
 		x.fail(p)
@@ -67,23 +68,24 @@
 	c.run()
 }
 
-// prepare reads the body as far as the call needs it: whole for a claim, else what may be sent again.
+// prepare reads as much of the body as needed before the first attempt: all of it for a claim, otherwise what is
+// buffered for retries.
 func (c *plainCall) prepare() (p *problem) {
 	if !c.repeatable && c.x.r.Header.Get(header.Idempotency) != "" {
-		c.head, p = c.x.readBody()
-		c.length = int64(len(c.head))
+		c.buffered, p = c.x.readBody()
+		c.contentLength = int64(len(c.buffered))
 		return p
 	}
-	head, err := io.ReadAll(io.LimitReader(c.x.body, replayBytes))
+	buffered, err := io.ReadAll(io.LimitReader(c.x.body, maxReplayBytes))
 	if err != nil {
 		return c.x.bodyProblem(err)
 	}
-	c.head, c.length = head, c.x.r.ContentLength
-	if len(head) == replayBytes {
-		c.rest = c.x.body
+	c.buffered, c.contentLength = buffered, c.x.r.ContentLength
+	if len(buffered) == maxReplayBytes {
+		c.unread = c.x.body
 		return nil
 	}
-	c.length = int64(len(head))
+	c.contentLength = int64(len(buffered))
 	return nil
 }
 
@@ -92,54 +94,55 @@
 		c.runClaimed()
 		return
 	}
-	p := c.tryAll(c.forward)
+	p := c.attemptWithRetries(c.forward)
 	if p != nil {
 		c.x.fail(p)
 	}
 }
 
-// tryAll makes attempts until one is answered. After the first byte was sent, only what may be repeated is.
-func (c *plainCall) tryAll(take func(*http.Response) *problem) (p *problem) {
+// attemptWithRetries makes attempts until one succeeds. Once the first byte was sent to an endpoint, only a repeatable
+// request is sent again.
+func (c *plainCall) attemptWithRetries(handle func(*http.Response) *problem) (p *problem) {
 	f := c.x.front
 	f.Retries.First(c.pool)
 	for {
-		p = c.attempt(take)
+		p = c.attempt(handle)
 		if p == nil || !c.mayRetry(p) {
 			return p
 		}
-		f.figures.retries.Inc()
+		f.requestMetrics.retries.Inc()
 	}
 }
 
 func (c *plainCall) mayRetry(p *problem) bool {
 	safe := p.outcome == outcome.NotRun || c.repeatable && p.outcome == outcome.Unknown
-	return safe && c.rest == nil && c.x.mayRetry(c.pool, len(c.exclude), p)
+	return safe && c.unread == nil && c.x.mayRetry(c.pool, len(c.excluded), p)
 }
 
-func (c *plainCall) attempt(take func(*http.Response) *problem) (p *problem) {
+func (c *plainCall) attempt(handle func(*http.Response) *problem) (p *problem) {
 	x, f := c.x, c.x.front
-	at, _, ok := x.place(ledger.Query{Pool: c.pool, Key: xxhash.Sum64String(x.id), Tokens: 1, Exclude: c.exclude})
+	at, _, ok := x.place(ledger.Query{Pool: c.pool, Key: xxhash.Sum64String(x.requestID), Tokens: 1, Exclude: c.excluded})
 	if !ok {
 		at.Outcome = outcome.NotRun
 		return unavailable("no endpoint of "+c.pool+" takes new work", outcome.NotRun)
 	}
-	c.exclude = append(c.exclude, at.Endpoint)
-	f.figures.attempts.Inc()
+	c.excluded = append(c.excluded, at.Endpoint)
+	f.requestMetrics.attempts.Inc()
 	flight := f.Ledger.Send(at.Endpoint, 1)
 	defer flight.End()
-	began := time.Now()
-	p = c.send(at, take)
-	closeAttempt(at, began, p)
+	start := time.Now()
+	p = c.send(at, handle)
+	recordAttempt(at, start, p)
 	return p
 }
 
-func (c *plainCall) send(at *decision.Attempt, take func(*http.Response) *problem) (p *problem) {
+func (c *plainCall) send(at *decision.Attempt, handle func(*http.Response) *problem) (p *problem) {
 	x, f := c.x, c.x.front
 	ctx, span := f.Tracer.Start(x.ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("endpoint", at.Endpoint), attribute.String("attempt", at.ID)))
 	defer span.End()
-	// The pause of a claimant ends here at the latest: after the claim has lapsed, others take it for lost, and what
-	// is sent now would run at a time that nobody vouches for.
+	// If the process was paused after it had claimed the key, the claim may have expired. Other routers then consider
+	// the request lost, and sending it now could run it at a time that the claim doesn't cover.
 	if c.grant != nil && c.grant.Expired(time.Now()) {
 		return unavailable("the claim lapsed before the call was sent", outcome.NotRun)
 	}
@@ -147,79 +150,79 @@
 	if err != nil {
 		return x.problemOf(err)
 	}
-	x.body.answer()
+	x.body.startResponse()
 	defer resp.Body.Close()
-	return take(resp)
+	return handle(resp)
 }
 
 func (c *plainCall) call(at *decision.Attempt) endpoint.Call {
 	e, _ := c.x.config.Endpoint(at.Endpoint)
 	r := c.x.r
 	h := r.Header.Clone()
-	dropHopHeaders(h)
+	removeHopByHopHeaders(h)
 	h.Del("Authorization")
 	h.Set("Savoryfall-Account", c.x.account.Name())
-	body := io.Reader(bytes.NewReader(c.head))
-	if c.rest != nil {
-		body = io.MultiReader(body, c.rest)
+	body := io.Reader(bytes.NewReader(c.buffered))
+	if c.unread != nil {
+		body = io.MultiReader(body, c.unread)
 	}
 	return endpoint.Call{
 		Endpoint: e.Name(), Address: e.Address(), Method: r.Method, Path: r.URL.EscapedPath(), Query: r.URL.RawQuery,
-		Header: h, Body: body, Length: c.length, Request: c.x.id, Attempt: at.ID, Echoes: e.Echoes(),
+		Header: h, Body: body, Length: c.contentLength, Request: c.x.requestID, Attempt: at.ID, Echoes: e.Echoes(),
 		NotRepeatable: !c.repeatable,
 	}
 }
 
-// hopHeaders are about one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-func dropHopHeaders(h http.Header) {
-	for _, name := range hopHeaders {
+func removeHopByHopHeaders(h http.Header) {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// forward streams an answer to the caller. When it breaks off, the connection is cut, so that the caller cannot take
-// what arrived for the whole.
+// forward streams a response to the client. If the response breaks off, the client's connection is aborted, so that
+// the client cannot mistake the part it received for the whole.
 func (c *plainCall) forward(resp *http.Response) (p *problem) {
 	x := c.x
-	x.first = time.Since(x.began)
+	x.firstByteAfter = time.Since(x.startedAt)
 	h := x.w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
 	}
-	dropHopHeaders(h)
+	removeHopByHopHeaders(h)
 	for _, name := range []string{header.Attempt, header.Load} {
 		h.Del(name)
 	}
-	h.Set(header.Request, x.id)
+	h.Set(header.Request, x.requestID)
 	h.Set(header.Outcome, string(outcome.Ran))
-	x.front.closing(h)
+	x.front.setConnectionClose(h)
 	x.w.WriteHeader(resp.StatusCode)
-	x.told(resp.StatusCode, outcome.Ran, "")
+	x.reported(resp.StatusCode, outcome.Ran, "")
 	err := copyFlushing(x.w, resp.Body)
 	if err != nil {
-		x.told(resp.StatusCode, outcome.Unknown, "the answer broke off: "+err.Error())
-		x.cut = true
+		x.reported(resp.StatusCode, outcome.Unknown, "the answer broke off: "+err.Error())
+		x.abort = true
 	}
 	return nil
 }
 
-const copyBuffer = 16 << 10
+const copyBufferBytes = 16 << 10
 
 func copyFlushing(w http.ResponseWriter, r io.Reader) (err error) {
-	flush := http.NewResponseController(w)
-	buf := make([]byte, copyBuffer)
+	controller := http.NewResponseController(w)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, readErr := r.Read(buf)
 		if n > 0 {
 			if _, err = w.Write(buf[:n]); err != nil {
 				return err
 			}
-			_ = flush.Flush()
+			_ = controller.Flush()
 		}
 		if errors.Is(readErr, io.EOF) {
 			return nil
@@ -230,18 +233,19 @@
 	}
 }
 
-// digestBytes is how much of a body's digest tells requests under one key apart.
+// digestBytes is the length of the truncated digest that distinguishes requests with the same idempotency key.
 const digestBytes = 16
 
-// runClaimed sends the call under a claim, or tells the recorded outcome of the call that came before.
+// runClaimed sends the request under a claim, or returns the recorded response of an earlier request with the same
+// key.
 func (c *plainCall) runClaimed() {
 	x := c.x
-	sum := sha256.Sum256(append([]byte(x.r.Method+" "+x.r.URL.RequestURI()+"\x00"), c.head...))
+	sum := sha256.Sum256(append([]byte(x.r.Method+" "+x.r.URL.RequestURI()+"\x00"), c.buffered...))
 	created, _ := time.Parse(time.RFC3339, x.r.Header.Get(header.KeyCreated))
 	ctx, span := x.front.Tracer.Start(x.ctx, "claim")
 	g, err := x.front.Claims.Claim(ctx, claim.Request{
 		Account: x.account.Name(), Key: x.r.Header.Get(header.Idempotency), Digest: hex.EncodeToString(sum[:digestBytes]),
-		Attempt: x.id, Created: created,
+		Attempt: x.requestID, Created: created,
 	})
 	span.End()
 	if err != nil {
@@ -249,12 +253,12 @@
 		return
 	}
 	if g.Recorded != nil {
-		x.replay(g.Recorded)
+		x.writeRecorded(g.Recorded)
 		return
 	}
 	c.grant = &g
 	var result claim.Result
-	p := c.tryAll(func(resp *http.Response) *problem { return c.record(resp, &result) })
+	p := c.attemptWithRetries(func(resp *http.Response) *problem { return c.recordResponse(resp, &result) })
 	c.settle(g, &result, p)
 }
 
@@ -269,11 +273,11 @@
 	}
 }
 
-// record reads a whole answer, which is then both told and kept.
-func (c *plainCall) record(resp *http.Response, result *claim.Result) (p *problem) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWholeAnswer))
+// recordResponse reads a whole response, which is then both recorded and sent to the client.
+func (c *plainCall) recordResponse(resp *http.Response, result *claim.Result) (p *problem) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return failed("the answer broke off: "+err.Error(), outcome.Unknown)
+		return endpointFailed("the answer broke off: "+err.Error(), outcome.Unknown)
 	}
 	*result = claim.Result{
 		Outcome: outcome.Ran, Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body,
@@ -281,35 +285,35 @@
 	return nil
 }
 
-// settle puts the outcome on the log, even when the caller has gone, and then tells it.
+// settle records the outcome on the log, even if the client has disconnected, and then responds to the client.
 func (c *plainCall) settle(g claim.Grant, result *claim.Result, p *problem) {
 	if p != nil {
 		*result = claim.Result{Outcome: p.outcome, Status: p.status}
 	}
-	kept := *result
-	if len(kept.Body) > maxRecorded {
-		kept.Body = nil
+	recorded := *result
+	if len(recorded.Body) > maxRecordedBytes {
+		recorded.Body = nil
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.x.ctx), settleTimeout)
 	defer cancel()
-	c.x.front.Claims.Settle(ctx, g, kept)
+	c.x.front.Claims.Settle(ctx, g, recorded)
 	if p != nil {
 		c.x.fail(p)
 		return
 	}
-	c.x.replay(result)
+	c.x.writeRecorded(result)
 }
 
 const settleTimeout = 5 * time.Second
 
-func (x *exchange) replay(result *claim.Result) {
+func (x *exchange) writeRecorded(result *claim.Result) {
 	if result.ContentType != "" {
 		x.w.Header().Set("Content-Type", result.ContentType)
 	}
 	x.w.Header().Set(header.Outcome, string(result.Outcome))
-	x.front.closing(x.w.Header())
+	x.front.setConnectionClose(x.w.Header())
 	x.w.WriteHeader(result.Status)
 	_, _ = x.w.Write(result.Body)
-	x.first = time.Since(x.began)
-	x.told(result.Status, result.Outcome, "")
+	x.firstByteAfter = time.Since(x.startedAt)
+	x.reported(result.Status, result.Outcome, "")
 }
--- a/io/caller/problem.go
+++ b/io/caller/problem.go
@@ -14,7 +14,7 @@
 
 const headerDeadline = header.DeadlineMs
 
-// problem is a failure as a caller is told it.
+// problem is a failure in the form in which it is reported to a client.
 type problem struct {
 	status     int
 	kind       string
@@ -23,11 +23,11 @@
 	message    string
 	outcome    outcome.Outcome
 	retryAfter time.Duration
-	// unreached tells that the attempt got no connection.
+	// unreached is set if the attempt got no connection.
 	unreached bool
 }
 
-// The kinds of problems, as the OpenAI clients know them.
+// The kinds of problems, named as in the OpenAI API.
 const (
 	kindInvalid  = "invalid_request_error"
 	kindAuth     = "authentication_error"
@@ -60,7 +60,7 @@
 	}
 	data, err := json.Marshal(b)
 	if err != nil {
-		panic("caller: a problem that JSON cannot hold: " + err.Error())
+		panic("caller: problem cannot be encoded as JSON: " + err.Error())
 	}
 	return data
 }
@@ -68,7 +68,8 @@
 func (p *problem) write(w http.ResponseWriter, request string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(header.Outcome, string(p.outcome))
-	// Clients of the OpenAI protocol repeat what failed on their own; this tells them not to where it might have run.
+	// OpenAI client libraries retry failed requests by themselves. This header tells them not to if the request may
+	// have run.
 	if p.outcome == outcome.Unknown {
 		w.Header().Set("X-Should-Retry", "false")
 	}
@@ -79,7 +80,7 @@
 	_, _ = w.Write(p.body(request))
 }
 
-func wrongKey() *problem {
+func invalidKey() *problem {
 	return &problem{
 		status: http.StatusUnauthorized, kind: kindAuth, code: "invalid_api_key",
 		message: "no client account in force has this bearer key", outcome: outcome.NotRun,
@@ -107,46 +108,46 @@
 	}
 }
 
-func tooLarge(limit int64) *problem {
+func bodyTooLarge(limit int64) *problem {
 	return &problem{
 		status: http.StatusRequestEntityTooLarge, kind: kindInvalid, code: "request_too_large",
 		message: fmt.Sprintf("the body is over %d bytes", limit), outcome: outcome.NotRun,
 	}
 }
 
-func slowBody(told outcome.Outcome) *problem {
+func bodyTimeout(result outcome.Outcome) *problem {
 	return &problem{
 		status: http.StatusRequestTimeout, kind: kindInvalid, code: "body_too_slow",
-		message: "the body did not arrive in time", outcome: told,
+		message: "the body did not arrive in time", outcome: result,
 	}
 }
 
-// comeBack is when to come back when endpoints refuse; probes find a better one within that time.
-const comeBack = time.Second
+// defaultRetryAfter is sent when endpoints refuse requests; within that time, probes find another endpoint.
+const defaultRetryAfter = time.Second
 
-func unavailable(message string, told outcome.Outcome) *problem {
+func unavailable(message string, result outcome.Outcome) *problem {
 	return &problem{
 		status: http.StatusServiceUnavailable, kind: kindOverload, code: "no_endpoint",
-		message: message, outcome: told, retryAfter: comeBack,
+		message: message, outcome: result, retryAfter: defaultRetryAfter,
 	}
 }
 
-func overloaded(message string, after time.Duration) *problem {
+func overloaded(message string, delay time.Duration) *problem {
 	return &problem{
 		status: http.StatusTooManyRequests, kind: kindOverload, code: "overloaded",
-		message: message, outcome: outcome.NotRun, retryAfter: after,
+		message: message, outcome: outcome.NotRun, retryAfter: delay,
 	}
 }
 
-func failed(message string, told outcome.Outcome) *problem {
+func endpointFailed(message string, result outcome.Outcome) *problem {
 	return &problem{
-		status: http.StatusBadGateway, kind: kindServer, code: "endpoint_failed", message: message, outcome: told,
+		status: http.StatusBadGateway, kind: kindServer, code: "endpoint_failed", message: message, outcome: result,
 	}
 }
 
-func timedOut(told outcome.Outcome) *problem {
+func deadlineExceeded(result outcome.Outcome) *problem {
 	return &problem{
 		status: http.StatusGatewayTimeout, kind: kindServer, code: "deadline_exceeded",
-		message: "the deadline of the request has passed", outcome: told,
+		message: "the deadline of the request has passed", outcome: result,
 	}
 }
--- a/io/endpoint/client.go
+++ b/io/endpoint/client.go
@@ -29,7 +29,7 @@
 type Observer interface {
 	// Heard takes the report that came at a time with the answer to what was asked before.
 	Heard(endpoint string, r report.Report, asked, at time.Time)
-	Failed(endpoint string, f *Failure)
+	Failed(endpoint string, f *AttemptError)
 }
 
 // Client makes attempts at endpoints.
@@ -71,20 +71,20 @@
 	NotRepeatable bool
 }
 
-// Failure is an attempt without an answer; its outcome says whether the request may have run.
-type Failure struct {
+// AttemptError is an attempt without an answer; its outcome says whether the request may have run.
+type AttemptError struct {
 	Outcome outcome.Outcome
 	Status  int
 	Header  http.Header
 	Cause   error
 }
 
-func (f *Failure) Error() string {
+func (f *AttemptError) Error() string {
 	return fmt.Sprintf("attempt failed (%s): %v", f.Outcome, f.Cause)
 }
 
 // Unwrap is the cause.
-func (f *Failure) Unwrap() error { return f.Cause }
+func (f *AttemptError) Unwrap() error { return f.Cause }
 
 // opaqueBody hides what the body is. The transport resends a request on its own when a pooled connection turns out
 // dead and the request has no body, or a body it can rewind, and is a GET or carries an Idempotency-Key: an
@@ -95,17 +95,17 @@
 
 func (opaqueBody) Close() error { return nil }
 
-// Do makes one attempt; the error is always a *Failure. The caller must close the body of the answer.
+// Do makes one attempt; the error is always a *AttemptError. The caller must close the body of the answer.
 func (c *Client) Do(ctx context.Context, call Call) (resp *http.Response, err error) {
 	var conn attemptConn
 	r, err := c.request(conn.trace(ctx), call)
 	if err != nil {
-		return nil, &Failure{Outcome: outcome.NotRun, Cause: err}
+		return nil, &AttemptError{Outcome: outcome.NotRun, Cause: err}
 	}
 	asked := time.Now()
 	resp, err = c.transport(call).RoundTrip(r)
 	if err != nil {
-		return nil, c.fail(call, &Failure{Outcome: conn.outcome(), Cause: err})
+		return nil, c.fail(call, &AttemptError{Outcome: conn.outcome(), Cause: err})
 	}
 	c.heard(call, resp, asked)
 	failure := judge(call, resp)
@@ -124,7 +124,7 @@
 	return c.pooled
 }
 
-func (c *Client) fail(call Call, f *Failure) *Failure {
+func (c *Client) fail(call Call, f *AttemptError) *AttemptError {
 	if c.observer != nil {
 		c.observer.Failed(call.Endpoint, f)
 	}
@@ -191,10 +191,10 @@
 	}
 }
 
-// CrossedError says that the answer belongs to another attempt.
-type CrossedError struct{ Want, Got string }
+// MismatchError says that the answer belongs to another attempt.
+type MismatchError struct{ Want, Got string }
 
-func (e CrossedError) Error() string {
+func (e MismatchError) Error() string {
 	return fmt.Sprintf("crossed answer: it is for attempt %q, not for %q", e.Got, e.Want)
 }
 
@@ -204,13 +204,13 @@
 func (e StatusError) Error() string { return fmt.Sprintf("the endpoint answered %d", e.Status) }
 
 // judge finds the answers that must not reach the caller.
-func judge(call Call, resp *http.Response) *Failure {
+func judge(call Call, resp *http.Response) *AttemptError {
 	got := resp.Header.Get(header.Attempt)
 	if call.Echoes && got != call.Attempt || got != "" && got != call.Attempt {
-		return &Failure{Outcome: outcome.Unknown, Cause: CrossedError{Want: call.Attempt, Got: got}}
+		return &AttemptError{Outcome: outcome.Unknown, Cause: MismatchError{Want: call.Attempt, Got: got}}
 	}
 	if resp.Header.Get(header.Outcome) == string(outcome.NotRun) && resp.StatusCode >= http.StatusBadRequest {
-		return &Failure{
+		return &AttemptError{
 			Outcome: outcome.NotRun, Status: resp.StatusCode, Header: resp.Header, Cause: StatusError{Status: resp.StatusCode},
 		}
 	}
--- a/io/endpoint/client_test.go
+++ b/io/endpoint/client_test.go
@@ -66,7 +66,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	_, err = c.Do(t.Context(), call)
-	var f *endpoint.Failure
+	var f *endpoint.AttemptError
 	assert.Assert(t, errors.As(err, &f))
 	assert.Equal(t, f.Outcome, outcome.Unknown)
 	assert.Equal(t, reached.Load(), int64(2))
@@ -118,7 +118,7 @@
 				Address: strings.TrimPrefix(given.url, "http://"), Method: http.MethodPost, Path: "/", Attempt: "mine",
 				Body: strings.NewReader("x"), Length: 1,
 			})
-			var f *endpoint.Failure
+			var f *endpoint.AttemptError
 			assert.Assert(t, errors.As(err, &f))
 			assert.Equal(t, f.Outcome, given.want)
 		})
--- a/io/probe/keeper.go
+++ b/io/probe/keeper.go
@@ -253,7 +253,7 @@
 }
 
 // Failed takes an attempt that failed. A refused connection is sure; a request that broke may be at fault itself.
-func (k *Keeper) Failed(name string, f *endpoint.Failure) {
+func (k *Keeper) Failed(name string, f *endpoint.AttemptError) {
 	if errors.Is(f.Cause, context.Canceled) || errors.Is(f.Cause, context.DeadlineExceeded) {
 		return
 	}
--- a/io/probe/keeper_test.go
+++ b/io/probe/keeper_test.go
@@ -73,7 +73,7 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-var refused = &endpoint.Failure{Outcome: outcome.NotRun, Cause: syscall.ECONNREFUSED}
+var refused = &endpoint.AttemptError{Outcome: outcome.NotRun, Cause: syscall.ECONNREFUSED}
 
 // An engine is killed while a probe of it is on its way, and peers tell that it is down. The probe brings what it answered
 // before; the router has no duty to probe it and sends nothing there, so unless it looks once more it takes the dead one for
