--- a/io/peer/agent.go
+++ b/io/peer/agent.go
@@ -32,7 +32,7 @@
 
 // Prober probes an endpoint immediately, after a peer has reported a change of its state.
 type Prober interface {
-	Look(endpoint string)
+	ProbeNow(endpoint string)
 }
 
 // Claims claims idempotency keys on behalf of other routers.
--- a/io/peer/finding.go
+++ b/io/peer/finding.go
@@ -51,6 +51,6 @@
 func (a *Agent) receiveFinding(f Finding, now time.Time) {
 	down := a.Health.State(f.Endpoint, now) == health.Down
 	if down != f.Down && a.Prober != nil {
-		a.Prober.Look(f.Endpoint)
+		a.Prober.ProbeNow(f.Endpoint)
 	}
 }
--- a/io/probe/doc.go
+++ b/io/probe/doc.go
@@ -1,3 +1,3 @@
-// Package probe keeps the health of the endpoints up to date, from real answers first and from
-// probes where there are none.
+// Package probe keeps track of the health of the endpoints, primarily from the responses to client requests, and
+// through probes where there are none.
 package probe
--- a/io/probe/keeper.go
+++ b/io/probe/keeper.go
@@ -22,18 +22,18 @@
 	"savoryfall/io/meter"
 )
 
-// Duties says which endpoints this router probes.
+// Duties determines which endpoints this router probes.
 type Duties interface {
 	Mine(duty string, n int) bool
 }
 
-// Gossip passes findings on.
+// Gossip passes changes of endpoints on to the other routers.
 type Gossip interface {
 	Finding(endpoint string, down bool)
 	Mark(endpoint, incarnation string)
 }
 
-// Keeper hears of endpoints and decides whether they may take new work.
+// Keeper collects reports and failures of endpoints, and decides whether the endpoints may receive new requests.
 type Keeper struct {
 	health *health.Table
 	ledger *ledger.Ledger
@@ -41,37 +41,39 @@
 	gossip Gossip
 	logger log.Logger
 	period time.Duration
-	// maturity is how long returning chats pass an endpoint over that has just come.
+	// maturity is how long after its start an endpoint is avoided for returning chats.
 	maturity time.Duration
 	client   *http.Client
 	mu       sync.Mutex
 	current  *inforce.Configuration
 	states   map[string]health.State
-	looking  map[string]bool
-	again    map[string]bool
+	probing  map[string]bool
+	repeat   map[string]bool
 	cancel   context.CancelFunc
 	running  background.Group
 }
 
 const (
-	// probers is how many routers probe each endpoint, so that the loss of one leaves another.
-	probers = 2
-	// timeoutShare of the period is how long a probe waits. Two probes follow each other, the one of whoever has the
-	// duty and that of each router that hears its finding, and both must fit into three seconds with the period.
-	timeoutShare = 0.3
-	reportPath   = "/savoryfall/report"
-	maxReport    = 64 << 10
-	// sweeps is how often in a period the states are brought up to date.
-	sweeps = 4
-	// doubtPeriods is every how many periods a router without the duty probes an endpoint that it takes for down.
-	doubtPeriods = 8
+	// probersPerEndpoint is how many routers probe each endpoint, so that one of them may fail.
+	probersPerEndpoint = 2
+	// timeoutShare is the probe timeout as a share of the period. Two probes follow each other, that of a router with
+	// the duty and then that of each router that receives its finding, and together with the period both must fit into
+	// three seconds.
+	timeoutShare   = 0.3
+	reportPath     = "/savoryfall/report"
+	maxReportBytes = 64 << 10
+	// sweepsPerPeriod is how often the endpoint states are updated in each period.
+	sweepsPerPeriod = 4
+	// downProbePeriods is the number of periods between two probes of an endpoint that a router without the duty
+	// considers down.
+	downProbePeriods = 8
 )
 
-// New makes a keeper that probes through the metered transport.
+// New returns a keeper that probes through the meter's HTTP transport.
 func New(h *health.Table, l *ledger.Ledger, m *meter.Meter, period, maturity time.Duration, logger log.Logger) *Keeper {
 	return &Keeper{
 		health: h, ledger: l, period: period, maturity: maturity, logger: logger, current: &inforce.Configuration{},
-		states: map[string]health.State{}, looking: map[string]bool{}, again: map[string]bool{},
+		states: map[string]health.State{}, probing: map[string]bool{}, repeat: map[string]bool{},
 		client: &http.Client{
 			Transport: m.Transport(meter.KindProbe),
 			Timeout:   time.Duration(timeoutShare * float64(period)),
@@ -79,10 +81,10 @@
 	}
 }
 
-// Use names who shares the probes and who passes findings on; both must be set before Start.
+// Use sets who assigns the probe duties and who passes changes on; it must be called before Start.
 func (k *Keeper) Use(d Duties, g Gossip) { k.duties, k.gossip = d, g }
 
-// Configure takes the endpoints in force.
+// Configure sets the endpoints in force.
 func (k *Keeper) Configure(c *inforce.Configuration) {
 	endpoints := c.Endpoints()
 	names := make([]string, 0, len(endpoints))
@@ -96,7 +98,7 @@
 	k.mu.Unlock()
 }
 
-// Start sweeps and probes in the background until Stop.
+// Start updates states and probes in the background until Stop.
 func (k *Keeper) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	k.cancel = cancel
@@ -114,7 +116,7 @@
 
 func (k *Keeper) loop(ctx context.Context) {
 	n := 0
-	background.Every(ctx, k.period/sweeps, func(time.Time) {
+	background.Every(ctx, k.period/sweepsPerPeriod, func(time.Time) {
 		k.sweep()
 		k.probeDue(ctx, n)
 		n++
@@ -127,15 +129,15 @@
 	return k.current
 }
 
-// sweep brings the placement up to date with states that change with time alone.
+// sweep updates the states of all endpoints, since states also change with time alone.
 func (k *Keeper) sweep() {
 	for _, e := range k.configuration().Endpoints() {
-		k.settle(e.Name())
+		k.updateState(e.Name())
 	}
 }
 
-// settle applies the state of one endpoint, and tells of a change.
-func (k *Keeper) settle(name string) {
+// updateState passes the state of an endpoint to the placement, and reports a change to the peers.
+func (k *Keeper) updateState(name string) {
 	state := k.health.State(name, time.Now())
 	k.mu.Lock()
 	before, known := k.states[name]
@@ -157,61 +159,63 @@
 	}
 }
 
-// probeDue probes the endpoints that nobody has heard for a period, spread over the sweeps of the period.
+// probeDue probes the endpoints that haven't answered for a period, spread over the sweeps of the period.
 func (k *Keeper) probeDue(ctx context.Context, n int) {
 	for i, e := range k.configuration().Endpoints() {
-		if i%sweeps != n%sweeps || time.Since(k.health.HeardAt(e.Name())) < k.period {
+		if i%sweepsPerPeriod != n%sweepsPerPeriod || time.Since(k.health.HeardAt(e.Name())) < k.period {
 			continue
 		}
-		if k.duties.Mine("probe/"+e.Name(), probers) || k.health.HeardAt(e.Name()).IsZero() || k.alone(e.Name(), n) {
-			k.look(ctx, e.Name(), e.Address())
+		if k.duties.Mine("probe/"+e.Name(), probersPerEndpoint) || k.health.HeardAt(e.Name()).IsZero() || k.downProbeDue(e.Name(), n) {
+			k.startProbe(ctx, e.Name(), e.Address())
 		}
 	}
 }
 
-// alone tells whether this router, which has no duty to probe the endpoint, does so because nobody may ever tell it
-// otherwise: where the way from here alone was cut, those that have the duty saw nothing fall and nothing return.
-func (k *Keeper) alone(name string, n int) bool {
-	return n/sweeps%doubtPeriods == 0 && k.health.State(name, time.Now()) == health.Down
+// downProbeDue reports whether this router should probe an endpoint that it considers down although it has no duty to.
+// If only the network between this router and the endpoint had failed, the routers with the duty have seen neither the
+// failure nor the recovery, and will never report either.
+func (k *Keeper) downProbeDue(name string, n int) bool {
+	return n/sweepsPerPeriod%downProbePeriods == 0 && k.health.State(name, time.Now()) == health.Down
 }
 
-// Look probes an endpoint now, whoever's duty it is. A probe that is on its way does not do: it may bring what the endpoint
-// answered before what this router was told happened, and a router that has no duty to probe would not look once more.
-func (k *Keeper) Look(name string) {
+// ProbeNow probes an endpoint immediately, whichever router has the duty. If a probe is already in progress, another
+// one follows: the first may return a response that the endpoint sent before the reported event, and a router without
+// the duty would not probe again.
+func (k *Keeper) ProbeNow(name string) {
 	e, ok := k.configuration().Endpoint(name)
 	if !ok {
 		return
 	}
 	k.mu.Lock()
-	k.again[name] = k.looking[name]
+	k.repeat[name] = k.probing[name]
 	k.mu.Unlock()
-	k.look(context.Background(), name, e.Address())
+	k.startProbe(context.Background(), name, e.Address())
 }
 
-func (k *Keeper) look(ctx context.Context, name, address string) {
+func (k *Keeper) startProbe(ctx context.Context, name, address string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.looking[name] {
+	if k.probing[name] {
 		return
 	}
-	k.looking[name] = true
+	k.probing[name] = true
 	k.running.Go(func() {
-		for again := true; again; again = k.looked(name) {
+		for repeat := true; repeat; repeat = k.probeDone(name) {
 			k.probe(ctx, name, address)
 		}
 	})
 }
 
-// looked notes the end of a probe, unless another one was asked for in the meantime.
-func (k *Keeper) looked(name string) (again bool) {
+// probeDone records the end of a probe, and reports whether another one was requested in the meantime.
+func (k *Keeper) probeDone(name string) (repeat bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	again = k.again[name]
-	delete(k.again, name)
-	if !again {
-		delete(k.looking, name)
+	repeat = k.repeat[name]
+	delete(k.repeat, name)
+	if !repeat {
+		delete(k.probing, name)
 	}
-	return again
+	return repeat
 }
 
 func (k *Keeper) probe(ctx context.Context, name, address string) {
@@ -220,39 +224,40 @@
 		return
 	}
 	r.Header.Set("User-Agent", "")
-	asked := time.Now()
+	sentAt := time.Now()
 	resp, err := k.client.Do(r)
 	if err != nil {
 		if ctx.Err() == nil {
 			k.health.Failed(name, true, time.Now())
-			k.settle(name)
+			k.updateState(name)
 		}
 		return
 	}
 	defer resp.Body.Close()
-	var got report.Report
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(&got)
+	var response report.Report
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(&response)
 	if err != nil {
-		got = report.Report{}
+		response = report.Report{}
 	}
-	k.Heard(name, got, asked, asked)
+	k.Heard(name, response, sentAt, sentAt)
 }
 
-// Heard takes the report that came with an answer to what was asked before. Where the endpoint has failed in between, a
-// probe tells which of both is newer.
-func (k *Keeper) Heard(name string, r report.Report, asked, at time.Time) {
-	restarted := k.health.Heard(name, r.Incarnation, r.Leaving, asked)
+// Heard applies the report from the response to a request sent at sentAt. If the endpoint is considered down, because
+// an attempt has failed in the meantime, a probe determines which of the two is newer.
+func (k *Keeper) Heard(name string, r report.Report, sentAt, at time.Time) {
+	restarted := k.health.Heard(name, r.Incarnation, r.Leaving, sentAt)
 	if k.health.State(name, at) == health.Down {
-		k.Look(name)
+		k.ProbeNow(name)
 	}
 	if restarted {
 		_ = k.logger.Log("event", "endpointRestarted", "endpoint", name, "incarnation", r.Incarnation)
 	}
 	k.ledger.Report(name, r.Requests(), at.Add(-r.Age()))
-	k.settle(name)
+	k.updateState(name)
 }
 
-// Failed takes an attempt that failed. A refused connection is sure; a request that broke may be at fault itself.
+// Failed applies a failed attempt. A refused connection proves that the endpoint is down, whereas other failures may
+// be caused by the request.
 func (k *Keeper) Failed(name string, f *endpoint.AttemptError) {
 	if errors.Is(f.Cause, context.Canceled) || errors.Is(f.Cause, context.DeadlineExceeded) {
 		return
@@ -261,17 +266,17 @@
 		return
 	}
 	k.health.Failed(name, errors.Is(f.Cause, syscall.ECONNREFUSED), time.Now())
-	k.settle(name)
+	k.updateState(name)
 }
 
-// MarkLeaving takes a leaving mark that somebody else has seen.
+// MarkLeaving applies a leaving mark that another router has observed.
 func (k *Keeper) MarkLeaving(name, incarnation string) {
 	k.health.MarkLeaving(name, incarnation)
-	k.settle(name)
+	k.updateState(name)
 }
 
-// Listed takes whether the VM list shows the endpoint as leaving.
+// Listed applies whether the VM list shows the endpoint as leaving.
 func (k *Keeper) Listed(name string, leaving bool) {
 	k.health.Listed(name, leaving)
-	k.settle(name)
+	k.updateState(name)
 }
--- a/io/probe/keeper_test.go
+++ b/io/probe/keeper_test.go
@@ -23,31 +23,31 @@
 	"savoryfall/io/probe"
 )
 
-// noDuty is a router that has no duty to probe, and whose peers hear nothing.
+// noDuty is a router that has no probe duties and whose peers receive nothing.
 type noDuty struct{}
 
 func (noDuty) Mine(string, int) bool { return false }
 func (noDuty) Finding(string, bool)  {}
 func (noDuty) Mark(string, string)   {}
 
-// gate is an endpoint whose answers wait until they are let out; each comes on a connection of its own.
-type gate struct {
+// blockingHandler is an endpoint that delays its responses until they are released; each uses a new connection.
+type blockingHandler struct {
 	arrived chan struct{}
-	out     chan struct{}
+	release chan struct{}
 }
 
-func (g *gate) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (g *blockingHandler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	g.arrived <- struct{}{}
-	<-g.out
+	<-g.release
 	w.Header().Set("Connection", "close")
 	_, _ = w.Write([]byte(`{}`))
 }
 
-// endless is a period after which no test waits for anything.
-const endless = time.Hour
+// longPeriod is longer than any test runs.
+const longPeriod = time.Hour
 
-// keeper is one that knows one endpoint, called engine-01, at the server.
-func keeper(t *testing.T, s *httptest.Server, period time.Duration) (k *probe.Keeper, h *health.Table) {
+// newKeeper starts a keeper with a single endpoint, engine-01, at the server's address.
+func newKeeper(t *testing.T, s *httptest.Server, period time.Duration) (k *probe.Keeper, h *health.Table) {
 	t.Helper()
 	h = &health.Table{}
 	k = probe.New(h, &ledger.Ledger{}, meter.New(metrics.NewSet()), period, 0, log.NewNopLogger())
@@ -63,7 +63,7 @@
 	return k, h
 }
 
-func eventually(t *testing.T, h *health.Table, want health.State) {
+func waitForState(t *testing.T, h *health.Table, want health.State) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := h.State("engine-01", time.Now()); got != want {
@@ -73,50 +73,50 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-var refused = &endpoint.AttemptError{Outcome: outcome.NotRun, Cause: syscall.ECONNREFUSED}
+var connectionRefused = &endpoint.AttemptError{Outcome: outcome.NotRun, Cause: syscall.ECONNREFUSED}
 
-// An engine is killed while a probe of it is on its way, and peers tell that it is down. The probe brings what it answered
-// before; the router has no duty to probe it and sends nothing there, so unless it looks once more it takes the dead one for
-// living for good.
-func TestFindingDuringAProbeIsLookedInto(t *testing.T) {
-	g := &gate{arrived: make(chan struct{}), out: make(chan struct{})}
+// An engine is killed while a probe of it is in progress, and a peer reports that it is down. The probe then returns
+// the response that the engine sent before. Since this router has no duty to probe the engine and sends it no
+// requests, it would consider the dead engine up from then on unless it probes again.
+func TestFindingDuringProbeRepeatsProbe(t *testing.T) {
+	g := &blockingHandler{arrived: make(chan struct{}), release: make(chan struct{})}
 	s := httptest.NewServer(g)
 	defer s.Close()
-	k, h := keeper(t, s, endless)
-	k.Look("engine-01")
+	k, h := newKeeper(t, s, longPeriod)
+	k.ProbeNow("engine-01")
 	<-g.arrived
-	k.Look("engine-01")
+	k.ProbeNow("engine-01")
 	assert.NilError(t, s.Listener.Close())
-	g.out <- struct{}{}
-	eventually(t, h, health.Down)
+	g.release <- struct{}{}
+	waitForState(t, h, health.Down)
 }
 
-// A request is refused by an engine that restarts under its name, and the answer to one that it had before is read later.
-// Neither tells which is newer; the router asks.
-func TestAnswerThatCrossesAFailureIsLookedInto(t *testing.T) {
+// An engine that restarts under the same name refuses a request, and the response to an earlier request is read after
+// that. The order of the two is unknown, so the router must probe the engine.
+func TestResponseReadAfterFailureTriggersProbe(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{}`)) }))
 	defer s.Close()
-	k, h := keeper(t, s, endless)
-	asked := time.Now()
-	k.Failed("engine-01", refused)
+	k, h := newKeeper(t, s, longPeriod)
+	sentAt := time.Now()
+	k.Failed("engine-01", connectionRefused)
 	assert.Equal(t, h.State("engine-01", time.Now()), health.Down)
-	k.Heard("engine-01", report.Report{}, asked, time.Now())
-	eventually(t, h, health.Up)
+	k.Heard("engine-01", report.Report{}, sentAt, time.Now())
+	waitForState(t, h, health.Up)
 }
 
-// The way from one router to an engine is cut and comes back. The routers that have the duty to probe it saw nothing, so
-// nobody tells this one that it is back.
-func TestEndpointThatOnlyThisRouterMissedComesBack(t *testing.T) {
+// The network between one router and an engine fails and recovers. The routers with the duty to probe the engine have
+// not noticed, so nobody reports the recovery to this router: it must probe the engine itself.
+func TestEndpointDownForOneRouterOnlyRecovers(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{}`)) }))
 	defer s.Close()
-	k, h := keeper(t, s, 100*time.Millisecond)
+	k, h := newKeeper(t, s, 100*time.Millisecond)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if h.HeardAt("engine-01").IsZero() {
-			return poll.Continue("it has not been heard")
+			return poll.Continue("the endpoint has not answered")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(time.Millisecond))
-	k.Failed("engine-01", refused)
-	eventually(t, h, health.Down)
-	eventually(t, h, health.Up)
+	k.Failed("engine-01", connectionRefused)
+	waitForState(t, h, health.Down)
+	waitForState(t, h, health.Up)
 }
