--- a/io/endpoint/client.go
+++ b/io/endpoint/client.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	idlePerHost   = 256
-	idleTimeout   = 30 * time.Second
-	maxAnswerHead = 64 << 10
+	dialTimeout            = time.Second
+	maxIdlePerHost         = 256
+	idleTimeout            = 30 * time.Second
+	maxResponseHeaderBytes = 64 << 10
 )
 
-// Observer hears what each attempt shows of an endpoint.
+// Observer is notified of what each attempt reveals about its endpoint.
 type Observer interface {
-	// Heard takes the report that came at a time with the answer to what was asked before.
-	Heard(endpoint string, r report.Report, asked, at time.Time)
+	// Heard is called at the time at, with the load report from the response to a request sent at sentAt.
+	Heard(endpoint string, r report.Report, sentAt, at time.Time)
 	Failed(endpoint string, f *AttemptError)
 }
 
-// Client makes attempts at endpoints.
+// Client sends attempts to endpoints.
 type Client struct {
 	pooled   *http.Transport
 	fresh    *http.Transport
 	observer Observer
 }
 
-// New makes a client that tells the observer what it sees.
+// New returns a client that notifies the observer of its attempts; the observer may be nil.
 func New(o Observer) *Client {
 	return &Client{pooled: transport(false), fresh: transport(true), observer: o}
 }
@@ -47,9 +47,9 @@
 func transport(fresh bool) *http.Transport {
 	return &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost:    idlePerHost,
+		MaxIdleConnsPerHost:    maxIdlePerHost,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxAnswerHead,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		DisableCompression:     true,
 		DisableKeepAlives:      fresh,
 	}
@@ -71,7 +71,8 @@
 	NotRepeatable bool
 }
 
-// AttemptError is an attempt without an answer; its outcome says whether the request may have run.
+// AttemptError is returned for an attempt without a usable response; its outcome says whether the request may have
+// run.
 type AttemptError struct {
 	Outcome outcome.Outcome
 	Status  int
@@ -83,36 +84,36 @@
 	return fmt.Sprintf("attempt failed (%s): %v", f.Outcome, f.Cause)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (f *AttemptError) Unwrap() error { return f.Cause }
 
-// opaqueBody hides what the body is. The transport resends a request on its own when a pooled connection turns out
-// dead and the request has no body, or a body it can rewind, and is a GET or carries an Idempotency-Key: an
-// endpoint would then run it twice. It cannot rewind this one, whatever the headers say.
-type opaqueBody struct {
+// nonRewindableBody hides the type of the body. If a pooled connection turns out to be dead, the transport sends a
+// request again by itself when its body is empty or can be rewound, and it is a GET or carries an Idempotency-Key; the
+// endpoint might then run it twice. The transport cannot rewind this type, whatever the headers are.
+type nonRewindableBody struct {
 	io.Reader
 }
 
-func (opaqueBody) Close() error { return nil }
+func (nonRewindableBody) Close() error { return nil }
 
-// Do makes one attempt; the error is always a *AttemptError. The caller must close the body of the answer.
+// Do makes one attempt. The error is always an *AttemptError. The caller must close the response body.
 func (c *Client) Do(ctx context.Context, call Call) (resp *http.Response, err error) {
 	var conn attemptConn
 	r, err := c.request(conn.trace(ctx), call)
 	if err != nil {
 		return nil, &AttemptError{Outcome: outcome.NotRun, Cause: err}
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	resp, err = c.transport(call).RoundTrip(r)
 	if err != nil {
-		return nil, c.fail(call, &AttemptError{Outcome: conn.outcome(), Cause: err})
+		return nil, c.observeFailure(call, &AttemptError{Outcome: conn.outcome(), Cause: err})
 	}
-	c.heard(call, resp, asked)
-	failure := judge(call, resp)
+	c.observe(call, resp, sentAt)
+	failure := checkResponse(call, resp)
 	if failure != nil {
 		_ = resp.Body.Close()
-		conn.abandon()
-		return nil, c.fail(call, failure)
+		conn.closeConn()
+		return nil, c.observeFailure(call, failure)
 	}
 	return resp, nil
 }
@@ -124,17 +125,17 @@
 	return c.pooled
 }
 
-func (c *Client) fail(call Call, f *AttemptError) *AttemptError {
+func (c *Client) observeFailure(call Call, f *AttemptError) *AttemptError {
 	if c.observer != nil {
 		c.observer.Failed(call.Endpoint, f)
 	}
 	return f
 }
 
-func (c *Client) heard(call Call, resp *http.Response, asked time.Time) {
+func (c *Client) observe(call Call, resp *http.Response, sentAt time.Time) {
 	r, ok := report.ParseHeader(resp.Header.Get(header.Load))
 	if ok && c.observer != nil {
-		c.observer.Heard(call.Endpoint, r, asked, time.Now())
+		c.observer.Heard(call.Endpoint, r, sentAt, time.Now())
 	}
 }
 
@@ -152,7 +153,7 @@
 	if body == nil {
 		body = http.NoBody
 	}
-	r.Body = opaqueBody{body}
+	r.Body = nonRewindableBody{body}
 	r.ContentLength = call.Length
 	r.Header.Set(header.Request, call.Request)
 	r.Header.Set(header.Attempt, call.Attempt)
@@ -163,7 +164,7 @@
 	return r, nil
 }
 
-// attemptConn remembers the connection that an attempt got.
+// attemptConn records the connection that an attempt uses.
 type attemptConn struct {
 	conn atomic.Value
 }
@@ -174,8 +175,8 @@
 	})
 }
 
-// outcome is notRun only when there never was a connection: once there is one, bytes may have been read by the
-// endpoint although the write returned an error.
+// outcome is notRun only if there never was a connection: once there is one, the endpoint may have received data even
+// if the write returned an error.
 func (a *attemptConn) outcome() outcome.Outcome {
 	if a.conn.Load() == nil {
 		return outcome.NotRun
@@ -183,28 +184,28 @@
 	return outcome.Unknown
 }
 
-// abandon closes the connection, because what comes on it next may be the rest of an answer that nobody waits for,
-// and would be taken for the answer to another request.
-func (a *attemptConn) abandon() {
+// closeConn closes the connection, because the next data on it may be the rest of an abandoned response, which would
+// be mistaken for the response to another request.
+func (a *attemptConn) closeConn() {
 	if c, ok := a.conn.Load().(*net.Conn); ok {
 		_ = (*c).Close()
 	}
 }
 
-// MismatchError says that the answer belongs to another attempt.
+// MismatchError is returned for a response that belongs to another attempt or stream.
 type MismatchError struct{ Want, Got string }
 
 func (e MismatchError) Error() string {
 	return fmt.Sprintf("crossed answer: it is for attempt %q, not for %q", e.Got, e.Want)
 }
 
-// StatusError is an answer whose status is a failure.
+// StatusError is returned for a response whose status indicates a failure.
 type StatusError struct{ Status int }
 
 func (e StatusError) Error() string { return fmt.Sprintf("the endpoint answered %d", e.Status) }
 
-// judge finds the answers that must not reach the caller.
-func judge(call Call, resp *http.Response) *AttemptError {
+// checkResponse returns an error for a response that must not reach the client.
+func checkResponse(call Call, resp *http.Response) *AttemptError {
 	got := resp.Header.Get(header.Attempt)
 	if call.Echoes && got != call.Attempt || got != "" && got != call.Attempt {
 		return &AttemptError{Outcome: outcome.Unknown, Cause: MismatchError{Want: call.Attempt, Got: got}}
@@ -224,5 +225,5 @@
 	return nil
 }
 
-// Start does nothing; connections are made when they are needed.
+// Start does nothing; connections are opened when they are needed.
 func (c *Client) Start(context.Context) error { return nil }
--- a/io/endpoint/client_test.go
+++ b/io/endpoint/client_test.go
@@ -18,8 +18,8 @@
 	"savoryfall/io/endpoint"
 )
 
-// flakyServer answers the first request on each connection and closes the connection on the second without a word,
-// as a server does whose idle timeout races with a new request. It counts what reached it.
+// flakyServer answers the first request on each connection and closes the connection on the second without a response,
+// like a server whose idle timeout races with a new request. It counts the requests that it receives.
 func flakyServer(t *testing.T) (address string, reached *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,13 +32,13 @@
 			if err != nil {
 				return
 			}
-			go serveOnce(c, reached)
+			go answerFirstRequest(c, reached)
 		}
 	}()
 	return l.Addr().String(), reached
 }
 
-func serveOnce(c net.Conn, reached *atomic.Int64) {
+func answerFirstRequest(c net.Conn, reached *atomic.Int64) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for n := range 2 {
@@ -54,9 +54,9 @@
 	}
 }
 
-// The caller sees an error that says unknown. A pooled connection dies under a POST that carries an Idempotency-Key
-// and no body. Go's transport by itself sends such a request again on a new connection, and the endpoint runs it
-// twice; with the body hidden from the transport it cannot.
+// A pooled connection dies during a POST that carries an Idempotency-Key and has no body. By itself, Go's transport
+// sends such a request again on a new connection, and the endpoint runs it twice. The client hides the body from the
+// transport to prevent this, and must return the outcome unknown.
 func TestTransportNeverSendsTwice(t *testing.T) {
 	address, reached := flakyServer(t)
 	c := endpoint.New(nil)
@@ -72,7 +72,8 @@
 	assert.Equal(t, reached.Load(), int64(2))
 }
 
-// The same without the safeguard: the plain transport sends the second request again, unseen by its user.
+// Shows the failure without the protection: the unmodified transport sends the second request again, without its
+// user's knowledge.
 func TestPlainTransportSendsTwice(t *testing.T) {
 	address, reached := flakyServer(t)
 	plain := &http.Transport{}
@@ -87,8 +88,9 @@
 	assert.Equal(t, reached.Load(), int64(3))
 }
 
-// The caller is told notRun only where no byte can have arrived: a refused connection. Once the endpoint had the
-// request and broke off, it may have acted on it, and the answer is unknown.
+// The outcome may be notRun only if the endpoint cannot have processed the request: its connection was refused, or the
+// endpoint said so. An endpoint that breaks off after it received the request may have processed it, so the outcome is
+// unknown.
 func TestOutcomeOfFailedAttempts(t *testing.T) {
 	breaks := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer breaks.Close()
@@ -101,26 +103,26 @@
 		w.Header().Set(header.Attempt, "another")
 	}))
 	defer crosses.Close()
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	refusesConnections := httptest.NewServer(http.NotFoundHandler())
+	refusesConnections.Close()
 	c := endpoint.New(nil)
-	for _, given := range []struct {
+	for _, test := range []struct {
 		name, url string
 		want      outcome.Outcome
 	}{
 		{"breaks off", breaks.URL, outcome.Unknown},
 		{"refuses", refuses.URL, outcome.NotRun},
 		{"answers another attempt", crosses.URL, outcome.Unknown},
-		{"is not there", gone.URL, outcome.NotRun},
+		{"is not there", refusesConnections.URL, outcome.NotRun},
 	} {
-		t.Run(given.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			_, err := c.Do(t.Context(), endpoint.Call{
-				Address: strings.TrimPrefix(given.url, "http://"), Method: http.MethodPost, Path: "/", Attempt: "mine",
+				Address: strings.TrimPrefix(test.url, "http://"), Method: http.MethodPost, Path: "/", Attempt: "mine",
 				Body: strings.NewReader("x"), Length: 1,
 			})
 			var f *endpoint.AttemptError
 			assert.Assert(t, errors.As(err, &f))
-			assert.Equal(t, f.Outcome, given.want)
+			assert.Equal(t, f.Outcome, test.want)
 		})
 	}
 }
--- a/io/endpoint/doc.go
+++ b/io/endpoint/doc.go
@@ -1,2 +1,2 @@
-// Package endpoint speaks HTTP to endpoints so that no request is ever sent twice unseen.
+// Package endpoint sends HTTP requests to endpoints, and never sends one again without its caller's knowledge.
 package endpoint
