--- a/io/command/command.go
+++ b/io/command/command.go
@@ -13,20 +13,20 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// The exit codes of every command.
+// Exit codes of every command.
 const (
-	exitDone     = 0
-	exitFailed   = 1
-	exitWrongUse = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// streams are where a command writes: results to out, everything else to err.
+// streams holds a command's output: results go to out, diagnostics to err.
 type streams struct {
 	out io.Writer
 	err io.Writer
 }
 
-// commands are registered by the files of this package, one each.
+// commands holds the constructor of each subcommand; each file of this package registers one in its init function.
 var commands []func(s streams) *ffcli.Command
 
 func register(build func(s streams) *ffcli.Command) {
@@ -36,29 +36,29 @@
 //go:embed docs/*.md
 var docs embed.FS
 
-// page is the operator's page of a command, which is its help.
-func page(name string) string {
+// helpPage returns the embedded documentation page of a command, which is its long help text.
+func helpPage(name string) string {
 	text, err := docs.ReadFile("docs/" + name + ".md")
 	if err != nil {
-		panic("command: no page for " + name)
+		panic("command: no documentation page for " + name)
 	}
 	return string(text)
 }
 
-// usageError is a wrong use of a command, as against a failure of what it does.
-type usageError struct{ problem string }
+// usageError reports wrong arguments or flags, which have an exit code of their own.
+type usageError struct{ message string }
 
-func (e usageError) Error() string { return e.problem }
+func (e usageError) Error() string { return e.message }
 
-// Run runs the command that the arguments name, and returns its exit code: 0 done, 1 failed, 2 wrong use.
+// Run runs the command that args name and returns its exit code: 0 success, 1 failure, 2 usage error.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) (code int) {
 	s := streams{out: stdout, err: stderr}
 	root := &ffcli.Command{
 		Name: "savoryfall", ShortUsage: "savoryfall COMMAND [flags]",
-		ShortHelp: "a router fleet for very many returning chats",
-		LongHelp:  page("savoryfall"),
+		ShortHelp: "a fleet of routers for multi-turn chats and plain HTTP services",
+		LongHelp:  helpPage("savoryfall"),
 		FlagSet:   newFlags("savoryfall", s),
-		Exec:      noCommand,
+		Exec:      noSubcommand,
 	}
 	for _, build := range commands {
 		root.Subcommands = append(root.Subcommands, build(s))
@@ -66,10 +66,10 @@
 	sort.Slice(root.Subcommands, func(i, j int) bool { return root.Subcommands[i].Name < root.Subcommands[j].Name })
 	err := root.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
-		return exitDone
+		return exitOK
 	}
 	if err != nil {
-		return exitWrongUse
+		return exitUsage
 	}
 	return exitCode(root.Run(ctx), s)
 }
@@ -78,20 +78,20 @@
 	var usage usageError
 	switch {
 	case err == nil:
-		return exitDone
+		return exitOK
 	case errors.As(err, &usage):
-		fmt.Fprintln(s.err, "savoryfall:", usage.problem)
-		return exitWrongUse
+		fmt.Fprintln(s.err, "savoryfall:", usage.message)
+		return exitUsage
 	}
 	fmt.Fprintln(s.err, err)
-	return exitFailed
+	return exitFailure
 }
 
-func noCommand(_ context.Context, args []string) error {
+func noSubcommand(_ context.Context, args []string) error {
 	if len(args) > 0 {
-		return usageError{problem: fmt.Sprintf("there is no command %q; see savoryfall -h", args[0])}
+		return usageError{message: fmt.Sprintf("unknown command %q; see savoryfall -h", args[0])}
 	}
-	return usageError{problem: "a command is missing; see savoryfall -h"}
+	return usageError{message: "missing command; see savoryfall -h"}
 }
 
 func newFlags(name string, s streams) *flag.FlagSet {
@@ -106,9 +106,9 @@
 	return encoder.Encode(v)
 }
 
-func oneFile(args []string) (file string, err error) {
+func singleFile(args []string) (file string, err error) {
 	if len(args) != 1 {
-		return "", usageError{problem: fmt.Sprintf("want one file, got %d arguments", len(args))}
+		return "", usageError{message: fmt.Sprintf("expected one file, got %d arguments", len(args))}
 	}
 	return args[0], nil
 }
--- a/io/command/demo.go
+++ b/io/command/demo.go
@@ -15,20 +15,21 @@
 func init() { register(demoCommand) }
 
 const (
-	demoAccount  = "guardia"
-	demoRouters  = 3
-	demoEngines  = 4
-	demoServices = 2
-	demoDrain    = 10 * time.Second
+	demoAccount     = "guardia"
+	demoRouters     = 3
+	demoEngines     = 4
+	demoServices    = 2
+	demoStopTimeout = 10 * time.Second
 )
 
 func demoCommand(s streams) *ffcli.Command {
 	flags := newFlags("demo", s)
 	quiet := flags.Bool("quiet", false, "write no log lines")
-	onPlatform := flags.Bool("platform", false, "run on the platform's store instead of release notes")
+	onPlatform := flags.Bool("platform", false, "run entry VMs on a stand-in of the platform's store instead of routers that read release notes")
 	return &ffcli.Command{
-		Name: "demo", ShortUsage: "savoryfall demo [--platform]", ShortHelp: "run a small fleet and its stand-ins in this process",
-		LongHelp: page("demo"), FlagSet: flags,
+		Name: "demo", ShortUsage: "savoryfall demo [--platform]",
+		ShortHelp: "run a small fleet with stand-ins for the platform and the endpoints in this process",
+		LongHelp:  helpPage("demo"), FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			if *onPlatform {
 				return runPlatformDemo(ctx, s, *quiet)
@@ -53,9 +54,9 @@
 	}
 	printDemo(s, f)
 	<-ctx.Done()
-	stop, cancel := context.WithTimeout(context.Background(), demoDrain)
+	stopCtx, cancel := context.WithTimeout(context.Background(), demoStopTimeout)
 	defer cancel()
-	return f.Stop(stop)
+	return f.Stop(stopCtx)
 }
 
 func printDemo(s streams, f *fleet.Fleet) {
@@ -63,5 +64,5 @@
 	fmt.Fprintf(s.out, "callers    http://%s/v1\noperators  http://%s\nkey        %s\n\n", r.Callers(), r.Operators(), fleet.Key(demoAccount))
 	fmt.Fprintf(s.out, "curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"sur-large\","+
 		"\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"What is the firewood quota?\"}]}'\n\n", r.Callers(), fleet.Key(demoAccount))
-	fmt.Fprintln(s.out, "stop with an interrupt")
+	fmt.Fprintln(s.out, "press Ctrl-C to stop")
 }
--- a/io/command/demoplatform.go
+++ b/io/command/demoplatform.go
@@ -16,15 +16,16 @@
 	"savoryfall/platform/standin/store"
 )
 
-// platformDemo is a small fleet on the platform's store, with its stand-ins, in this process.
+// platformDemo runs a small fleet of entry VMs in this process, with stand-ins for the platform's store and the endpoints.
 type platformDemo struct {
-	store   store.Service
-	address string
-	servers []*http.Server
-	vms     []*entryVM
+	store store.Service
+	// address is the store's address.
+	address     string
+	httpServers []*http.Server
+	vms         []*entryVM
 }
 
-// demoConfiguration has a route of each kind for the key "demo".
+// demoConfiguration has a route of each kind; its only API key is "demo".
 const demoConfiguration = `{"version":1,"routes":[
 	{"name":"draft","host":"demo.example","path_prefix":"/draft/","type":"streaming","resumable":true,"timeout_ms":15000,
 		"goal_ms":800,"service":"models","max_attempts":2},
@@ -42,10 +43,10 @@
 	if err != nil {
 		return err
 	}
-	address := d.vms[0].clients.Address()
+	address := d.vms[0].clientServer.Address()
 	fmt.Fprintf(s.out, "clients    http://%s\nstore      http://%s\nkey        demo\n\n", address, d.address)
 	fmt.Fprintf(s.out, "curl -sN -X POST http://%s/draft/plan -H 'Host: demo.example' -H 'Authorization: Bearer demo' "+
-		"%s\n\nstop with an interrupt\n", address, server.CurlHeaders)
+		"%s\n\npress Ctrl-C to stop\n", address, server.CurlHeaders)
 	<-ctx.Done()
 	return nil
 }
@@ -58,19 +59,19 @@
 	}
 	d.store.Put("keyed.op", "config", []byte(demoConfiguration))
 	for i := range demoEngines {
-		err = d.add(server.Options{ID: fmt.Sprint("engine", i), Service: "models", Slots: 32, Events: 40, Step: 30 * time.Millisecond})
+		err = d.addServer(server.Options{ID: fmt.Sprint("engine", i), Service: "models", Slots: 32, Events: 40, Step: 30 * time.Millisecond})
 		if err != nil {
 			return err
 		}
 	}
 	for i := range demoServices {
-		err = d.add(server.Options{ID: fmt.Sprint("plain", i), Service: "plain", Slots: 6, Work: 15 * time.Millisecond})
+		err = d.addServer(server.Options{ID: fmt.Sprint("plain", i), Service: "plain", Slots: 6, Work: 15 * time.Millisecond})
 		if err != nil {
 			return err
 		}
 	}
 	for i := range demoRouters {
-		err = d.route(ctx, s, i, quiet)
+		err = d.startRouter(ctx, s, i, quiet)
 		if err != nil {
 			return err
 		}
@@ -78,16 +79,16 @@
 	return nil
 }
 
-// serve takes a free address on loopback.
+// serve serves h on a free loopback port and returns the address.
 func (d *platformDemo) serve(h http.Handler) (address string, err error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: h}
-	d.servers = append(d.servers, server)
+	httpServer := &http.Server{Handler: h}
+	d.httpServers = append(d.httpServers, httpServer)
 	go func() {
-		err := server.Serve(l)
+		err := httpServer.Serve(l)
 		if !errors.Is(err, http.ErrServerClosed) {
 			panic("demo: " + err.Error())
 		}
@@ -95,7 +96,7 @@
 	return l.Addr().String(), nil
 }
 
-func (d *platformDemo) add(o server.Options) (err error) {
+func (d *platformDemo) addServer(o server.Options) (err error) {
 	var s *server.Server
 	o.Zone = "demo"
 	o.Address, err = d.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.ServeHTTP(w, r) }))
@@ -107,13 +108,13 @@
 	return nil
 }
 
-func (d *platformDemo) route(ctx context.Context, s streams, i int, quiet bool) (err error) {
-	peers, err := net.Listen("tcp4", "127.0.0.1:0")
+func (d *platformDemo) startRouter(ctx context.Context, s streams, i int, quiet bool) (err error) {
+	peerListener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	address := peers.Addr().String()
-	err = peers.Close()
+	address := peerListener.Addr().String()
+	err = peerListener.Close()
 	if err != nil {
 		return err
 	}
@@ -137,12 +138,12 @@
 }
 
 func (d *platformDemo) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), demoDrain)
+	ctx, cancel := context.WithTimeout(context.Background(), demoStopTimeout)
 	defer cancel()
 	for _, vm := range d.vms {
 		_ = vm.kernel.Stop(ctx)
 	}
-	for _, s := range d.servers {
+	for _, s := range d.httpServers {
 		_ = s.Close()
 	}
 }
--- a/io/command/demoplatform_test.go
+++ b/io/command/demoplatform_test.go
@@ -11,19 +11,19 @@
 	"savoryfall/platform/standin/client"
 )
 
-// The demo serves a request of each kind as soon as its routers have read the store.
+// The demo serves a request of each kind once its routers have read the store.
 func TestPlatformDemo(t *testing.T) {
 	t.Parallel()
 	d := &platformDemo{}
 	defer d.stop()
 	assert.NilError(t, d.start(context.Background(), streams{out: io.Discard, err: io.Discard}, true))
-	ask := func(method, path string) client.Answer {
-		return client.Ask(d.vms[0].clients.Address(), client.Request{Method: method, Host: "demo.example", Path: path, ID: path, Key: "demo"})
+	send := func(method, path string) client.Answer {
+		return client.Ask(d.vms[0].clientServer.Address(), client.Request{Method: method, Host: "demo.example", Path: path, ID: path, Key: "demo"})
 	}
 	f := &entryFleet{t: t}
-	f.await("ready", func() bool { return ask("GET", "/read/x").Status == 200 })
-	assert.Equal(t, ask("POST", "/book/x").Status, 200)
-	got := ask("POST", "/draft/x")
+	f.waitFor("ready", func() bool { return send("GET", "/read/x").Status == 200 })
+	assert.Equal(t, send("POST", "/book/x").Status, 200)
+	got := send("POST", "/draft/x")
 	assert.Assert(t, got.Whole)
 	assert.Equal(t, strings.Count(got.Body, "data: piece"), 40)
 }
--- a/io/command/doc.go
+++ b/io/command/doc.go
@@ -1,2 +1,2 @@
-// Package command holds the command line, one file for each command.
+// Package command implements the command line; each subcommand has its own file.
 package command
--- a/io/command/entry.go
+++ b/io/command/entry.go
@@ -19,15 +19,16 @@
 	flags := newFlags("entry", s)
 	file := flags.String("settings", "", "the settings file (TOML)")
 	return &ffcli.Command{
-		Name: "entry", ShortUsage: "savoryfall entry --settings FILE", ShortHelp: "run a router on the platform's store",
-		LongHelp: page("entry"), FlagSet: flags, Options: []ff.Option{ff.WithEnvVarPrefix("SAVORYFALL")},
+		Name: "entry", ShortUsage: "savoryfall entry --settings FILE",
+		ShortHelp: "run a router on an entry VM, with shared state in the platform's store",
+		LongHelp:  helpPage("entry"), FlagSet: flags, Options: []ff.Option{ff.WithEnvVarPrefix("SAVORYFALL")},
 		Exec: func(ctx context.Context, _ []string) error { return runEntry(ctx, s, *file) },
 	}
 }
 
 func readEntrySettings(file string) (s *settings.Entry, data []byte, err error) {
 	if file == "" {
-		return nil, nil, usageError{problem: "--settings is missing"}
+		return nil, nil, usageError{message: "missing --settings"}
 	}
 	data, err = os.ReadFile(file)
 	if err != nil {
@@ -38,8 +39,8 @@
 }
 
 func runEntry(ctx context.Context, s streams, file string) (err error) {
-	outliveLogReader()
-	// Before all else: a process that is told of changed settings while it starts would end by the signal.
+	ignoreBrokenPipe()
+	// Catch SIGHUP before anything else: by default, one that arrives during startup would end the process.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
--- a/io/command/entry_test.go
+++ b/io/command/entry_test.go
@@ -15,9 +15,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// starting runs a router whose settings are a pipe, so that it waits in its start until they are written. It returns when
-// the router has opened them.
-func starting(t *testing.T, command string) (cmd *exec.Cmd, out *strings.Builder, settings *os.File) {
+// startWithSettingsPipe starts a router whose settings file is a named pipe, so that its startup blocks until the settings
+// are written. It returns when the router has opened the pipe.
+func startWithSettingsPipe(t *testing.T, command string) (cmd *exec.Cmd, out *strings.Builder, settings *os.File) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	assert.NilError(t, syscall.Mkfifo(file, 0o600))
@@ -30,12 +30,12 @@
 	return cmd, out, settings
 }
 
-// A VM's settings change just after its router was started: the platform signals a process that has not read them yet.
-// The process ended by the signal, and its clients with it. It must go on and take what it reads, here a fault.
-func TestHangupWhileStartingEndsNothing(t *testing.T) {
+// Guards against SIGHUP ending a process that is still starting: the platform sends it when settings change, also before
+// the process has read its settings. The process must go on and read the settings, here invalid ones.
+func TestHangupDuringStartupDoesNotKill(t *testing.T) {
 	for _, command := range []string{"entry", "router"} {
 		t.Run(command, func(t *testing.T) {
-			cmd, out, settings := starting(t, command)
+			cmd, out, settings := startWithSettingsPipe(t, command)
 			assert.NilError(t, cmd.Process.Signal(syscall.SIGHUP))
 			_, err := settings.WriteString("[vm]\nname = 1\n")
 			assert.NilError(t, err)
@@ -47,7 +47,7 @@
 	}
 }
 
-const entryText = `
+const entrySettings = `
 [vm]
 name = "vm0"
 failureDomain = "a"
@@ -65,7 +65,7 @@
 grace = "1s"
 `
 
-const routerText = `
+const routerSettings = `
 [vm]
 name = "vm0"
 failureDomain = "a"
@@ -81,8 +81,8 @@
 vmList = "http://127.0.0.1:1"
 `
 
-// running runs a router, without any platform, and returns when it serves its clients at the address that it logs.
-func running(t *testing.T, command, settings string) (cmd *exec.Cmd, lines *bufio.Scanner, log *os.File, address string) {
+// startRouter starts a router without a platform and waits until it logs the address at which it serves clients.
+func startRouter(t *testing.T, command, settings string) (cmd *exec.Cmd, lines *bufio.Scanner, log *os.File, address string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	assert.NilError(t, os.WriteFile(file, []byte(settings), 0o600))
@@ -101,26 +101,26 @@
 			return cmd, lines, log, m[1]
 		}
 	}
-	t.Fatalf("not started: %v", lines.Err())
+	t.Fatalf("router did not start: %v", lines.Err())
 	return nil, nil, nil, ""
 }
 
-// ended tells the router to stop, and compares how it ended.
-func ended(t *testing.T, cmd *exec.Cmd) {
+// stopAndCheckExit sends SIGTERM and checks that the router exits with status 0.
+func stopAndCheckExit(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	assert.NilError(t, cmd.Process.Signal(syscall.SIGTERM))
 	_ = cmd.Wait()
 	assert.Equal(t, cmd.ProcessState.String(), "exit status 0")
 }
 
-// The reader of a router's log ends while clients are served. The next line met a broken pipe, and the signal that this
-// brings ended the process under all its clients. Lines may be lost, but requests must be answered on.
-func TestLogReaderThatEndsCostsNoRequest(t *testing.T) {
+// Guards against SIGPIPE ending the process when the reader of its log exits while clients are served. Log lines may be
+// lost, but requests must still be answered.
+func TestRequestsSurviveClosedLogPipe(t *testing.T) {
 	t.Parallel()
-	for command, settings := range map[string]string{"entry": entryText, "router": routerText} {
+	for command, settings := range map[string]string{"entry": entrySettings, "router": routerSettings} {
 		t.Run(command, func(t *testing.T) {
 			t.Parallel()
-			cmd, _, log, address := running(t, command, settings)
+			cmd, _, log, address := startRouter(t, command, settings)
 			assert.NilError(t, log.Close())
 			for range 20 {
 				resp, err := http.Get("http://" + address + "/read/x")
@@ -128,23 +128,23 @@
 				assert.NilError(t, resp.Body.Close())
 				time.Sleep(10 * time.Millisecond)
 			}
-			ended(t, cmd)
+			stopAndCheckExit(t, cmd)
 		})
 	}
 }
 
-// A router on release notes gets the signal by which others are told of changed settings. It ended, and every request on
-// it was cut. It must serve on and say that its settings stay; the same signal must not cut the requests that it lets end
-// when it stops.
-func TestHangupEndsNoRouter(t *testing.T) {
+// Guards against SIGHUP, the signal for changed settings, ending a router that doesn't support reloading, and all its
+// requests with it. The router must go on serving and log that it keeps its settings. SIGHUP during shutdown must not cut
+// off the requests that are still open.
+func TestHangupDoesNotStopRouter(t *testing.T) {
 	t.Parallel()
-	cmd, lines, _, address := running(t, "router", routerText)
+	cmd, lines, _, address := startRouter(t, "router", routerSettings)
 	assert.NilError(t, cmd.Process.Signal(syscall.SIGHUP))
-	told := false
-	for !told && lines.Scan() {
-		told = strings.Contains(lines.Text(), "event=settingsKept")
+	logged := false
+	for !logged && lines.Scan() {
+		logged = strings.Contains(lines.Text(), "event=settingsKept")
 	}
-	assert.Assert(t, told, "%v", lines.Err())
+	assert.Assert(t, logged, "%v", lines.Err())
 	resp, err := http.Get("http://" + address + "/readyz")
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
--- a/io/command/entryvm.go
+++ b/io/command/entryvm.go
@@ -51,56 +51,61 @@
 	"savoryfall/platform/store"
 )
 
-// entryVM is the process of an entry VM: the services of a router that takes all it shares from the platform's store.
+// entryVM runs the services of a router on an entry VM. All state that routers share comes from the platform's store.
 type entryVM struct {
-	kernel     kernel.Kernel
-	settings   *settings.Entry
-	logger     log.Logger
-	grace      time.Duration
-	lease      freshness.Lease
-	retries    retryshare.Share
-	limits     atomic.Pointer[retryshare.Limits]
-	dispatcher *dispatch.Dispatcher
-	desired    *desired.Keeper
-	hub        *hub.Agent
-	drained    *draining.Keeper
-	routers    atomic.Int64
-	front      *entry.Front
-	clients    *entry.Server
-	set        *metrics.Set
+	kernel       kernel.Kernel
+	settings     *settings.Entry
+	logger       log.Logger
+	stopGrace    time.Duration
+	lease        freshness.Lease
+	retries      retryshare.Share
+	limits       atomic.Pointer[retryshare.Limits]
+	dispatcher   *dispatch.Dispatcher
+	desired      *desired.Keeper
+	hub          *hub.Agent
+	drainTracker *draining.Keeper
+	// routers is the number of routers in the fleet, as far as known.
+	routers      atomic.Int64
+	front        *entry.Front
+	clientServer *entry.Server
+	metricSet    *metrics.Set
 }
 
 const (
-	// keyMargin is what is taken off the term of withdrawn keys, for the way from the check to the endpoint.
-	keyMargin = 150 * time.Millisecond
-	// configurationWait is how long a read waits for a newer configuration; each read renews the right to serve.
-	configurationWait = 500 * time.Millisecond
-	// configurationPause is the least time between two reads: a store that does not wait must not be asked without end.
-	configurationPause = 50 * time.Millisecond
-	// registryPause is the least time between two reads of the endpoints' entries, which change many times a
-	// second: a leaving endpoint may get no new work two seconds later.
-	registryPause = 600 * time.Millisecond
-	// staleShare is the part of the time which a change may take to be known everywhere after which a router that
-	// nobody reads for reads itself; the rest is for that read.
-	staleShare = 0.75
-	// firstWait is how long a starting router waits at most for a hub to tell it what the store holds.
-	firstWait = 2 * time.Second
-	// grace is how long a router waits to be given a newer configuration by the hub: a few times what asking for it takes.
-	grace = 400 * time.Millisecond
-	// leastRouters is how many routers share the retries at least: those that have just come are not known yet.
-	leastRouters = 4
-	// settingsLook is how often the settings file is looked at for a change that no signal told of.
-	settingsLook = time.Second
+	// keyTermMargin is subtracted from the time that a withdrawn key may still be accepted. It covers the time between the
+	// check of the key and the request's arrival at the endpoint.
+	keyTermMargin = 150 * time.Millisecond
+	// configurationPollWait is how long a read waits for a newer configuration. Each read renews the lease to serve.
+	configurationPollWait = 500 * time.Millisecond
+	// configurationMinInterval is the minimum time between two reads. Without it, a store that answers long polls at once
+	// would be read in a busy loop.
+	configurationMinInterval = 50 * time.Millisecond
+	// registryMinInterval is the minimum time between two reads of the endpoints' entries, which change many times per
+	// second. An endpoint that leaves must get no new work after two seconds.
+	registryMinInterval = 600 * time.Millisecond
+	// staleFraction is the fraction of the changesWithin setting after which a router without news from a hub reads the
+	// store itself. The rest of the time is left for that read.
+	staleFraction = 0.75
+	// startupWait bounds how long a starting router waits for a hub to send it the contents of the store.
+	startupWait = 2 * time.Second
+	// hubGrace is how long a router waits for the hub to send a newer configuration: a few times the duration of a request
+	// to the hub.
+	hubGrace = 400 * time.Millisecond
+	// minRouters is the minimum number of routers to divide the retry budget by, since routers that have just started are
+	// not known yet.
+	minRouters = 4
+	// settingsPollInterval is how often the settings file is checked for changes that came without a SIGHUP.
+	settingsPollInterval = time.Second
 )
 
 func newEntryVM(cfg *settings.Entry, logger *stdout.Log) (vm *entryVM, err error) {
 	defer annotate.Error(&err, "build entry VM %s", cfg.VM().Name())
 	vm = &entryVM{
 		settings: cfg, logger: log.With(logger, field.Time, log.DefaultTimestampUTC, field.VM, cfg.VM().Name()),
-		dispatcher: dispatch.New(cfg.VM().FailureDomain()), set: metrics.NewSet(),
+		dispatcher: dispatch.New(cfg.VM().FailureDomain()), metricSet: metrics.NewSet(),
 	}
 	vm.kernel.Register("stdout", logger)
-	vm.apply(cfg)
+	vm.applySettings(cfg)
 	err = vm.buildStore()
 	if err != nil {
 		return nil, err
@@ -109,56 +114,57 @@
 	if err != nil {
 		return nil, err
 	}
-	return vm, vm.buildReadiness()
+	return vm, vm.buildOperatorServers()
 }
 
-// apply takes the settings that may change while the process runs.
-func (vm *entryVM) apply(cfg *settings.Entry) {
-	vm.grace = cfg.Grace()
-	vm.lease.SetTerm(cfg.KeyTerm() - keyMargin)
+// applySettings applies the settings that may change at run time.
+func (vm *entryVM) applySettings(cfg *settings.Entry) {
+	vm.stopGrace = cfg.Grace()
+	vm.lease.SetTerm(cfg.KeyTerm() - keyTermMargin)
 	vm.dispatcher.SetColdBound(coldshare.Bound{Overrun: cfg.Cold().Overrun(), Slack: cfg.Cold().Slack()})
 	vm.dispatcher.SetDrainTerm(cfg.DrainedWithin() / 2)
 	vm.limits.Store(&retryshare.Limits{
 		Ratio: cfg.Retries().Ratio(), Slack: cfg.Retries().Slack(), Window: cfg.Retries().Window(),
 	})
-	vm.share()
+	vm.updateRetryLimits()
 }
 
-// counted takes the routers that share the retries and what cold endpoints bear, by the hashes of their names.
+// counted receives the hashes of the names of all routers, which divide the retry budget and the request limits
+// of cold endpoints among themselves.
 func (vm *entryVM) counted(routers []uint64) {
 	vm.routers.Store(int64(len(routers)))
 	vm.dispatcher.SetFleet(coldshare.New(members.Hash(vm.settings.VM().Name()), routers))
-	vm.share()
+	vm.updateRetryLimits()
 }
 
-func (vm *entryVM) share() {
+func (vm *entryVM) updateRetryLimits() {
 	limits := *vm.limits.Load()
-	limits.Routers = max(int(vm.routers.Load()), leastRouters)
+	limits.Routers = max(int(vm.routers.Load()), minRouters)
 	vm.retries.SetLimits(limits)
 }
 
 func (vm *entryVM) buildStore() (err error) {
-	counted := meter.New(vm.set)
-	c := store.New(vm.settings.Store(), &http.Client{Transport: counted.Calls(meter.KindLog, storeTransport(counted))})
-	vm.desired = desired.New(wiredesired.Decoder{}, &vm.lease, vm.configured, vm.logger)
-	stale := time.Duration(staleShare * float64(vm.settings.ChangesWithin()))
-	vm.drained = draining.New(evacuation.Decoder{}, vm.dispatcher, vm.logger)
-	configuration := follow.New(c.Topic(wiredesired.Topic), follow.Sinks{vm.drained, vm.desired}, follow.Options{
-		Name: "configuration", Wait: configurationWait, Pause: configurationPause, Grace: grace, Stale: stale, First: firstWait,
+	counted := meter.New(vm.metricSet)
+	storeClient := store.New(vm.settings.Store(), &http.Client{Transport: counted.Calls(meter.KindLog, storeTransport(counted))})
+	vm.desired = desired.New(wiredesired.Decoder{}, &vm.lease, vm.onConfiguration, vm.logger)
+	staleAfter := time.Duration(staleFraction * float64(vm.settings.ChangesWithin()))
+	vm.drainTracker = draining.New(evacuation.Decoder{}, vm.dispatcher, vm.logger)
+	configurationFollower := follow.New(storeClient.Topic(wiredesired.Topic), follow.Sinks{vm.drainTracker, vm.desired}, follow.Options{
+		Name: "configuration", Wait: configurationPollWait, Pause: configurationMinInterval, Grace: hubGrace, Stale: staleAfter, First: startupWait,
 		Clock: bootclock.Now,
 	}, vm.logger)
-	vm.kernel.Register("configuration", configuration)
-	endpoints := registry.New(wireregistry.Decoder{}, vm.listed, vm.logger)
-	listed := follow.New(c.Topic(wireregistry.Topic), endpoints, follow.Options{
-		Name: "registry", Pause: registryPause, Stale: stale, First: firstWait, Clock: bootclock.Now,
+	vm.kernel.Register("configuration", configurationFollower)
+	endpointRegistry := registry.New(wireregistry.Decoder{}, vm.listed, vm.logger)
+	listed := follow.New(storeClient.Topic(wireregistry.Topic), endpointRegistry, follow.Options{
+		Name: "registry", Pause: registryMinInterval, Stale: staleAfter, First: startupWait, Clock: bootclock.Now,
 	}, vm.logger)
 	vm.kernel.Register("registry", listed)
-	vm.set.NewGauge("savoryfall_registry_age_seconds", func() float64 {
-		_, sent, known := listed.Known()
+	vm.metricSet.NewGauge("savoryfall_registry_age_seconds", func() float64 {
+		_, confirmedAt, known := listed.Known()
 		if !known {
 			return -1
 		}
-		return (bootclock.Now() - sent).Seconds()
+		return (bootclock.Now() - confirmedAt).Seconds()
 	})
 	vm.hub, err = hub.New(hub.Parts{
 		Self: members.Member{
@@ -167,9 +173,10 @@
 			Bears:   members.VM{Cores: vm.settings.Cores(), MemoryMB: vm.settings.MemoryMB(), LinkMbps: vm.settings.LinkMbps()}.Bears(),
 		},
 		Address: vm.settings.Peers(),
-		Members: &members.List{}, Configuration: configuration, Record: vm.desired.Record, Beside: vm.drained.Records, Registry: listed, Endpoints: endpoints,
-		Loads: vm.dispatcher, Listing: hub.NewListing(c.Topic(store.MembersTopic)), Bootstrap: vm.settings.Bootstrap(), Meter: counted,
-		Logger: vm.logger, Clock: bootclock.Now, Stale: stale, Counted: vm.counted,
+		Members: &members.List{}, Configuration: configurationFollower, Record: vm.desired.Record,
+		Beside: vm.drainTracker.Records, Registry: listed, Endpoints: endpointRegistry,
+		Loads: vm.dispatcher, Listing: hub.NewListing(storeClient.Topic(store.MembersTopic)), Bootstrap: vm.settings.Bootstrap(), Meter: counted,
+		Logger: vm.logger, Clock: bootclock.Now, Stale: staleAfter, Counted: vm.counted,
 	})
 	if err != nil {
 		return err
@@ -178,9 +185,9 @@
 	return nil
 }
 
-// storeTransport finds out by itself that a connection has gone silent, and counts the bytes.
+// storeTransport returns a transport that detects dead connections by TCP keepalive and counts the bytes.
 func storeTransport(m *meter.Meter) *http.Transport {
-	d := &net.Dialer{Timeout: storeDial, KeepAliveConfig: net.KeepAliveConfig{
+	d := &net.Dialer{Timeout: storeDialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: time.Second, Interval: time.Second, Count: 2,
 	}}
 	dial := func(ctx context.Context, network, address string) (c net.Conn, err error) {
@@ -193,11 +200,11 @@
 	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, DisableCompression: true}
 }
 
-// storeDial bounds the making of a connection to the store, which answers within some milliseconds.
-const storeDial = 500 * time.Millisecond
+// storeDialTimeout bounds connecting to the store, which normally takes a few milliseconds.
+const storeDialTimeout = 500 * time.Millisecond
 
-func (vm *entryVM) configured(t *routetable.Table)  { vm.dispatcher.Configure(t) }
-func (vm *entryVM) listed(usable []directory.Entry) { vm.dispatcher.Update(usable, time.Now()) }
+func (vm *entryVM) onConfiguration(t *routetable.Table) { vm.dispatcher.Configure(t) }
+func (vm *entryVM) listed(usable []directory.Entry)     { vm.dispatcher.Update(usable, time.Now()) }
 
 func (vm *entryVM) buildFront() (err error) {
 	tracer, err := vm.tracer()
@@ -207,91 +214,91 @@
 	vm.front = entry.New(entry.Parts{
 		Clients: front.Front{}, Endpoints: backend.Backend{}, Configuration: vm.desired, Lease: &vm.lease,
 		Dispatcher: vm.dispatcher, Retries: &vm.retries, Pool: &http1.Pool{}, Tracer: tracer,
-		Figures: entry.NewFigures(vm.set), Logger: vm.logger, Clock: bootclock.Now,
+		Figures: entry.NewFigures(vm.metricSet), Logger: vm.logger, Clock: bootclock.Now,
 	})
-	vm.clients, err = entry.NewServer(vm.settings.Clients(), vm.front)
+	vm.clientServer, err = entry.NewServer(vm.settings.Clients(), vm.front)
 	if err != nil {
 		return err
 	}
-	vm.kernel.Register("clients", vm.clients)
+	vm.kernel.Register("clients", vm.clientServer)
 	return nil
 }
 
-// tracer makes no spans, at no cost, unless the settings say where they go.
+// tracer returns a no-op tracer unless the settings name a destination for spans.
 func (vm *entryVM) tracer() (t trace.Tracer, err error) {
 	cfg := vm.settings.Traces()
 	if cfg.OTLP() == "" && cfg.File() == "" {
 		return noop.NewTracerProvider().Tracer(""), nil
 	}
-	spans, err := tracing.New(context.Background(), vm.settings.VM().Name(), cfg.OTLP(), cfg.File())
+	provider, err := tracing.New(context.Background(), vm.settings.VM().Name(), cfg.OTLP(), cfg.File())
 	if err != nil {
 		return nil, err
 	}
-	vm.kernel.Register("tracing", spans)
-	return spans.Tracer(), nil
+	vm.kernel.Register("tracing", provider)
+	return provider.Tracer(), nil
 }
 
-// nameMetrics is the name of the server of the metrics.
-const nameMetrics = "metrics"
+// metricsServerName is the registered name of the server that exposes the metrics.
+const metricsServerName = "metrics"
 
-// readyPath is where the balancer asks whether this router takes new clients.
-const readyPath = front.ReadyPath
+// readinessPath is the load balancer's health check: whether this router accepts new clients.
+const readinessPath = front.ReadyPath
 
-func (vm *entryVM) buildReadiness() (err error) {
-	ready := mux.NewRouter()
-	ready.HandleFunc(readyPath, func(w http.ResponseWriter, _ *http.Request) {
+func (vm *entryVM) buildOperatorServers() (err error) {
+	readinessHandler := mux.NewRouter()
+	readinessHandler.HandleFunc(readinessPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !vm.front.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	err = vm.serve("readiness", vm.settings.Readiness(), ready)
+	err = vm.addServer("readiness", vm.settings.Readiness(), readinessHandler)
 	if err != nil {
 		return err
 	}
-	vm.gauges()
-	figures := mux.NewRouter()
-	figures.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		vm.set.WritePrometheus(w)
-		vm.services(w)
-		// Of the operating system only: the runtime's own would stop the process for a moment.
+	vm.registerGauges()
+	metricsHandler := mux.NewRouter()
+	metricsHandler.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
+		vm.metricSet.WritePrometheus(w)
+		vm.writeServiceGauges(w)
+		// Only the operating system's process metrics: collecting the Go runtime's would pause the process.
 		metrics.WriteProcMetrics(w)
 	})
-	return vm.serve(nameMetrics, vm.settings.Metrics(), figures)
+	return vm.addServer(metricsServerName, vm.settings.Metrics(), metricsHandler)
 }
 
-// gauges are what is looked at when the metrics are read.
-func (vm *entryVM) gauges() {
-	vm.set.NewGauge("savoryfall_configuration_age_seconds", func() float64 {
+// registerGauges registers the metrics that are computed when they are read.
+func (vm *entryVM) registerGauges() {
+	vm.metricSet.NewGauge("savoryfall_configuration_age_seconds", func() float64 {
 		age, _ := vm.lease.Age(bootclock.Now())
 		return age.Seconds()
 	})
-	vm.set.NewGauge("savoryfall_configuration_version", func() float64 {
+	vm.metricSet.NewGauge("savoryfall_configuration_version", func() float64 {
 		if t := vm.desired.Current(); t != nil {
 			return float64(t.Version())
 		}
 		return 0
 	})
-	vm.set.NewGauge("savoryfall_cores", func() float64 { return float64(runtime.GOMAXPROCS(0)) })
-	vm.set.NewGauge("savoryfall_routers", func() float64 { return float64(vm.routers.Load()) })
-	vm.measures()
-	vm.set.NewGauge("savoryfall_open_requests", func() float64 { return float64(vm.front.Open()) })
-	vm.set.NewGauge("savoryfall_connections_made", func() float64 { return float64(vm.front.Pool.Dials()) })
+	vm.metricSet.NewGauge("savoryfall_cores", func() float64 { return float64(runtime.GOMAXPROCS(0)) })
+	vm.metricSet.NewGauge("savoryfall_routers", func() float64 { return float64(vm.routers.Load()) })
+	vm.registerDispatchGauges()
+	vm.metricSet.NewGauge("savoryfall_open_requests", func() float64 { return float64(vm.front.Open()) })
+	vm.metricSet.NewGauge("savoryfall_connections_made", func() float64 { return float64(vm.front.Pool.Dials()) })
 	for state, count := range map[string]func(c clientconn.Counts) int{
 		"idle": clientconn.Counts.Idle, "reading": clientconn.Counts.Reading, "serving": clientconn.Counts.Serving,
 	} {
-		vm.set.NewGauge(fmt.Sprintf("savoryfall_client_connections{state=%q}", state), func() float64 {
-			return float64(count(vm.clients.Connections().Counts()))
+		vm.metricSet.NewGauge(fmt.Sprintf("savoryfall_client_connections{state=%q}", state), func() float64 {
+			return float64(count(vm.clientServer.Connections().Counts()))
 		})
 	}
-	for _, by := range clientconn.Endings() {
-		vm.set.NewGauge(fmt.Sprintf("savoryfall_client_connections_ended_total{by=%q}", by), func() float64 {
-			return float64(vm.clients.Connections().Ended(by))
+	for _, ending := range clientconn.Endings() {
+		vm.metricSet.NewGauge(fmt.Sprintf("savoryfall_client_connections_ended_total{by=%q}", ending), func() float64 {
+			return float64(vm.clientServer.Connections().Ended(ending))
 		})
 	}
 }
 
-// measures are the users' own, and what they rest on.
-func (vm *entryVM) measures() {
+// registerDispatchGauges registers metrics of cache reuse and load balance, and of the endpoint data they are based on.
+func (vm *entryVM) registerDispatchGauges() {
 	for name, value := range map[string]func(m dispatch.Measures) float64{
 		"savoryfall_prompt_tokens_total":      func(m dispatch.Measures) float64 { return float64(m.Prompt) },
 		"savoryfall_warm_prompt_tokens_total": func(m dispatch.Measures) float64 { return float64(m.Warm) },
@@ -302,12 +309,13 @@
 		"savoryfall_full_for_seconds":         func(m dispatch.Measures) float64 { return m.FullFor.Seconds() },
 		"savoryfall_load_view_age_seconds":    func(m dispatch.Measures) float64 { return m.ViewAge.Seconds() },
 	} {
-		vm.set.NewGauge(name, func() float64 { return value(vm.dispatcher.Measure(time.Now())) })
+		vm.metricSet.NewGauge(name, func() float64 { return value(vm.dispatcher.Measure(time.Now())) })
 	}
 }
 
-// services shows this router's part of the retries, and the places, at each service of the configuration.
-func (vm *entryVM) services(w io.Writer) {
+// writeServiceGauges writes, for each service of the configuration, this router's remaining retries, and the service's
+// places (its admission limit) and how many of them are taken.
+func (vm *entryVM) writeServiceGauges(w io.Writer) {
 	t := vm.desired.Current()
 	if t == nil {
 		return
@@ -324,13 +332,13 @@
 	}
 }
 
-// metricsAddress is where the metrics are served.
+// metricsAddress returns the address of the metrics server.
 func (vm *entryVM) metricsAddress() string {
-	return vm.kernel.Find(nameMetrics).(*httpserver.Server).Address()
+	return vm.kernel.Find(metricsServerName).(*httpserver.Server).Address()
 }
 
-func (vm *entryVM) serve(name, address string, h http.Handler) (err error) {
-	s, err := httpserver.New(address, h, httpserver.Options{StopWithin: besideStop})
+func (vm *entryVM) addServer(name, address string, h http.Handler) (err error) {
+	s, err := httpserver.New(address, h, httpserver.Options{StopWithin: auxiliaryStopTimeout})
 	if err != nil {
 		return err
 	}
@@ -341,29 +349,30 @@
 func (vm *entryVM) start(ctx context.Context) (err error) {
 	err = vm.kernel.Start(ctx)
 	if err == nil {
-		_ = vm.logger.Log(field.Event, event.Started, field.Clients, vm.clients.Address(), field.Store, vm.settings.Store())
+		_ = vm.logger.Log(field.Event, event.Started, field.Clients, vm.clientServer.Address(), field.Store, vm.settings.Store())
 	}
 	return err
 }
 
-// watchSettings takes changed settings, on a signal or without one, until the process is told to stop. What the process
-// started with is given, since the file may have changed while it started.
-func (vm *entryVM) watchSettings(ctx context.Context, file string, last []byte, hangup <-chan os.Signal) {
-	tick := time.NewTicker(settingsLook)
-	defer tick.Stop()
+// watchSettings applies changes of the settings file, on SIGHUP and by polling, until ctx ends. current is the content that
+// the process started with: the file may have changed since it was read.
+func (vm *entryVM) watchSettings(ctx context.Context, file string, current []byte, hangup <-chan os.Signal) {
+	ticker := time.NewTicker(settingsPollInterval)
+	defer ticker.Stop()
 	for stopping := false; !stopping; {
 		select {
 		case <-ctx.Done():
-			// Once more: a grace that was lowered just before the stop is the one that the process is killed by.
+			// Read the file a last time: the platform kills the process by the grace in the file, which may have been
+			// lowered just before the stop.
 			stopping = true
 		case <-hangup:
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		data, err := os.ReadFile(file)
-		if err != nil || bytes.Equal(data, last) {
+		if err != nil || bytes.Equal(data, current) {
 			continue
 		}
-		last = data
+		current = data
 		vm.reload(file, data)
 	}
 }
@@ -374,24 +383,25 @@
 		_ = vm.logger.Log(field.Event, event.SettingsRefused, field.Err, err)
 		return
 	}
-	vm.apply(cfg)
+	vm.applySettings(cfg)
 	_ = vm.logger.Log(field.Event, event.SettingsReloaded, field.KeyTerm, cfg.KeyTerm(), field.Grace, cfg.Grace())
 }
 
 func (vm *entryVM) stop() (err error) {
 	_ = vm.logger.Log(field.Event, event.Stopping, field.Open, vm.front.Open())
-	vm.clients.Drain(vm.grace)
-	left := vm.clients.Connections().Counts()
-	_ = vm.logger.Log(field.Event, event.Stopped, field.Open, vm.front.Open(), field.Reading, left.Reading(), field.Serving, left.Serving())
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	vm.clientServer.Drain(vm.stopGrace)
+	remaining := vm.clientServer.Connections().Counts()
+	_ = vm.logger.Log(field.Event, event.Stopped, field.Open, vm.front.Open(),
+		field.Reading, remaining.Reading(), field.Serving, remaining.Serving())
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return vm.kernel.Stop(ctx)
 }
 
 const (
-	// stopWithin bounds the end of the services after the last request.
-	stopWithin = 300 * time.Millisecond
-	// besideStop is the part of it that a server beside the clients' may take: they are stopped first, and a connection
-	// on which nobody asks for anything must not use up the time of the clients' last answers.
-	besideStop = 50 * time.Millisecond
+	// stopTimeout bounds stopping the services after the last request.
+	stopTimeout = 300 * time.Millisecond
+	// auxiliaryStopTimeout bounds stopping each of the readiness and metrics servers. They stop before the server for
+	// clients, and an idle connection to them must not use up the time for the last responses to clients.
+	auxiliaryStopTimeout = 50 * time.Millisecond
 )
--- a/io/command/entryvm_test.go
+++ b/io/command/entryvm_test.go
@@ -27,30 +27,30 @@
 	"savoryfall/platform/standin/store"
 )
 
-// entryFleet is entry VMs, servers and a store, in one process and on loopback.
+// entryFleet runs entry VMs, endpoint servers and a store in one process, on loopback.
 type entryFleet struct {
-	t       testing.TB
-	store   store.Service
-	url     string
-	servers map[string]*server.Server
-	vms     []*entryVM
+	t            testing.TB
+	store        store.Service
+	storeAddress string
+	servers      map[string]*server.Server
+	vms          []*entryVM
 }
 
 func newEntryFleet(t testing.TB, vms int) *entryFleet {
 	f := &entryFleet{t: t, servers: map[string]*server.Server{}}
 	h := httptest.NewServer(&f.store)
 	t.Cleanup(h.Close)
-	f.url = strings.TrimPrefix(h.URL, "http://")
-	f.configure(1, "good", "plain")
+	f.storeAddress = strings.TrimPrefix(h.URL, "http://")
+	f.putConfiguration(1, "good", "plain")
 	for i := range 3 {
-		f.serve(fmt.Sprint("m", i), server.Options{Service: "models", Slots: 32, Events: 5, Step: time.Millisecond})
-		f.serve(fmt.Sprint("p", i), server.Options{Service: "plain", Slots: 8})
+		f.addServer(fmt.Sprint("m", i), server.Options{Service: "models", Slots: 32, Events: 5, Step: time.Millisecond})
+		f.addServer(fmt.Sprint("p", i), server.Options{Service: "plain", Slots: 8})
 	}
-	f.serve("q0", server.Options{Service: "other", Slots: 8})
+	f.addServer("q0", server.Options{Service: "other", Slots: 8})
 	for i := range vms {
 		f.start(i)
 	}
-	f.await("ready", func() bool {
+	f.waitFor("ready", func() bool {
 		for _, vm := range f.vms {
 			if !vm.front.Ready() || f.get(vm, "/read/x", "good").Status != 200 {
 				return false
@@ -61,8 +61,8 @@
 	return f
 }
 
-// configure writes a version in which the key holds and the look-ups go to the service.
-func (f *entryFleet) configure(version int, key, service string) {
+// putConfiguration stores a version of the configuration with one API key and with the read route on the given service.
+func (f *entryFleet) putConfiguration(version int, key, service string) {
 	route := func(name, kind, service string, resumable bool) string {
 		return fmt.Sprintf(`{"name":%q,"host":"shop.example","path_prefix":"/%s/","type":%q,"timeout_ms":3000,"goal_ms":100,
 			"service":%q,"max_attempts":2,"resumable":%v}`, name, name, kind, service, resumable)
@@ -75,7 +75,7 @@
 		route("book", "non_idempotent", "plain", false), route("draft", "streaming", "models", true), key))
 }
 
-func (f *entryFleet) serve(id string, o server.Options) {
+func (f *entryFleet) addServer(id string, o server.Options) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	o.ID, o.Address = id, l.Addr().String()
@@ -106,7 +106,7 @@
 address = %q
 [store]
 address = %q
-`, i, 10-i, ownAddress(), f.url)
+`, i, 10-i, uniqueLoopbackAddress(), f.storeAddress)
 	cfg, err := settings.ParseEntry("vm.toml", []byte(text))
 	assert.NilError(f.t, err)
 	vm, err := newEntryVM(cfg, stdout.New(io.Discard))
@@ -120,17 +120,16 @@
 	})
 }
 
-// addresses counts those given out.
-var addresses atomic.Int64
+var addressCount atomic.Int64
 
-// ownAddress is a loopback address of its own: a port that was free a moment ago may be another socket's by the time it
-// is bound.
-func ownAddress() string {
-	n := addresses.Add(1)
+// uniqueLoopbackAddress returns a loopback IP address that no other test uses, with a fixed port. Choosing a free port of
+// one address instead would race with other sockets between the choice and the bind.
+func uniqueLoopbackAddress() string {
+	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:20101", 1+os.Getpid()%250, 1+n/250, 1+n%250)
 }
 
-func (f *entryFleet) await(what string, done func() bool) {
+func (f *entryFleet) waitFor(what string, done func() bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		if done() {
@@ -140,14 +139,14 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
 func (f *entryFleet) get(vm *entryVM, path, key string) client.Answer {
-	return f.ask(vm, "GET", path, key, fmt.Sprint("r", requests.Add(1)))
+	return f.send(vm, "GET", path, key, fmt.Sprint("r", requestCount.Add(1)))
 }
 
-func (f *entryFleet) ask(vm *entryVM, method, path, key, id string) client.Answer {
-	return client.Ask(vm.clients.Address(), client.Request{Method: method, Host: "shop.example", Path: path, ID: id, Key: key})
+func (f *entryFleet) send(vm *entryVM, method, path, key, id string) client.Answer {
+	return client.Ask(vm.clientServer.Address(), client.Request{Method: method, Host: "shop.example", Path: path, ID: id, Key: key})
 }
 
 func TestEntryFleetServesEachKind(t *testing.T) {
@@ -155,10 +154,10 @@
 	f := newEntryFleet(t, 3)
 	for _, vm := range f.vms {
 		assert.Equal(t, f.get(vm, "/read/x", "good").Body, "/read/x for coop by plain")
-		assert.Equal(t, f.ask(vm, "POST", "/book/x", "good", "b"+vm.settings.VM().Name()).Status, 200)
-		g := f.ask(vm, "POST", "/draft/x", "good", "s"+vm.settings.VM().Name())
-		assert.Equal(t, strings.Count(g.Body, "data: piece"), 5)
-		assert.Assert(t, g.Whole)
+		assert.Equal(t, f.send(vm, "POST", "/book/x", "good", "b"+vm.settings.VM().Name()).Status, 200)
+		stream := f.send(vm, "POST", "/draft/x", "good", "s"+vm.settings.VM().Name())
+		assert.Equal(t, strings.Count(stream.Body, "data: piece"), 5)
+		assert.Assert(t, stream.Whole)
 		assert.Equal(t, f.get(vm, "/read/x", "bad").Status, 401)
 		assert.Equal(t, f.get(vm, "/none/x", "good").Status, 404)
 	}
@@ -169,7 +168,7 @@
 	assert.Equal(t, booked, int64(1))
 }
 
-// metrics are what the VM serves on its metrics address.
+// metrics returns what the VM serves at its metrics address.
 func (f *entryFleet) metrics(vm *entryVM) string {
 	resp, err := http.Get("http://" + vm.metricsAddress() + "/metrics")
 	assert.NilError(f.t, err)
@@ -179,13 +178,13 @@
 	return string(body)
 }
 
-// What on-call engineers look at is on the metrics address.
+// The metrics endpoint exposes the metrics that on-call engineers use.
 func TestMetrics(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 1)
-	// A router serves before it has read the list of routers.
-	f.await("the router has found itself on the list", func() bool { return f.vms[0].routers.Load() > 0 })
-	f.ask(f.vms[0], "POST", "/draft/x", "good", "m1")
+	// A router serves requests before it has read the list of routers.
+	f.waitFor("the router is on the list of routers", func() bool { return f.vms[0].routers.Load() > 0 })
+	f.send(f.vms[0], "POST", "/draft/x", "good", "m1")
 	f.get(f.vms[0], "/read/x", "bad")
 	body := f.metrics(f.vms[0])
 	for _, want := range []string{
@@ -202,13 +201,13 @@
 	}
 }
 
-// Each metric of this project that a fleet serves, also between its routers, has its row on the operators' page, and none
-// has a label whose values grow with the accounts.
-func TestPageExplainsEachMetric(t *testing.T) {
+// Each savoryfall_ metric that a fleet exposes, including those of traffic between routers, has a row in
+// docs/OPERATIONS.md, and no metric has a label whose number of values grows with the accounts.
+func TestOperationsPageDocumentsMetrics(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 2)
-	f.await("a hub", func() bool { return f.vms[1].hub.Follows() == "vm0" })
-	f.ask(f.vms[1], "POST", "/draft/x", "good", "m1")
+	f.waitFor("vm1 follows vm0 as hub", func() bool { return f.vms[1].hub.Follows() == "vm0" })
+	f.send(f.vms[1], "POST", "/draft/x", "good", "m1")
 	f.get(f.vms[1], "/read/x", "bad")
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	assert.NilError(t, err)
@@ -216,56 +215,57 @@
 	for _, kind := range []string{"log", "peer"} {
 		assert.Assert(t, regexp.MustCompile(`savoryfall_control_calls_total\{kind="`+kind+`"\} [1-9]`).MatchString(body), body)
 	}
-	bounded := []string{"", "kind", "status", "outcome", "reason", "service", "verdict", "state", "by", "direction", "vmrange"}
-	parts := regexp.MustCompile(`(?m)^(savoryfall_\w+?)(?:_bucket|_sum|_count)?(?:\{(.*)\})? \S+$`)
+	boundedLabels := []string{"", "kind", "status", "outcome", "reason", "service", "verdict", "state", "by", "direction", "vmrange"}
+	sample := regexp.MustCompile(`(?m)^(savoryfall_\w+?)(?:_bucket|_sum|_count)?(?:\{(.*)\})? \S+$`)
 	rows := regexp.MustCompile("(?m)^\\| `savoryfall_.*$")
-	explained := strings.Join(rows.FindAllString(string(page), -1), "\n")
-	for _, m := range parts.FindAllStringSubmatch(body, -1) {
-		assert.Assert(t, regexp.MustCompile("`"+m[1]+"[`{]").MatchString(explained), "%s is not on the page", m[1])
+	documented := strings.Join(rows.FindAllString(string(page), -1), "\n")
+	for _, m := range sample.FindAllStringSubmatch(body, -1) {
+		assert.Assert(t, regexp.MustCompile("`"+m[1]+"[`{]").MatchString(documented), "%s is not documented in OPERATIONS.md", m[1])
 		for _, label := range strings.Split(m[2], ",") {
 			name, _, _ := strings.Cut(label, "=")
-			assert.Assert(t, slices.Contains(bounded, name), "%s of %s", name, m[0])
+			assert.Assert(t, slices.Contains(boundedLabels, name), "label %s of %s may be unbounded", name, m[0])
 		}
 	}
 }
 
-// A new configuration is in force on every router, and none goes back to an older one, also when the store tells the
-// older one once more.
+// A new configuration becomes active on every router, and no router returns to an older version, even when the store holds
+// the older version again.
 func TestConfigurationOnlyGoesForward(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.configure(7, "new", "other")
+	f.putConfiguration(7, "new", "other")
 	for _, vm := range f.vms {
-		f.await("version 7", func() bool { return f.get(vm, "/read/x", "new").Body == "/read/x for coop by other" })
+		f.waitFor("version 7", func() bool { return f.get(vm, "/read/x", "new").Body == "/read/x for coop by other" })
 		assert.Equal(t, f.get(vm, "/read/x", "good").Status, 401)
 	}
-	f.configure(3, "good", "plain")
-	f.configure(9, "newest", "other")
+	f.putConfiguration(3, "good", "plain")
+	f.putConfiguration(9, "newest", "other")
 	for _, vm := range f.vms {
-		f.await("version 9", func() bool { return f.get(vm, "/read/x", "newest").Status == 200 })
+		f.waitFor("version 9", func() bool { return f.get(vm, "/read/x", "newest").Status == 200 })
 		assert.Equal(t, f.get(vm, "/read/x", "good").Status, 401)
 	}
 }
 
-// Routers whose hub dies, and then whose store forgets its history, still learn of the next configuration.
-func TestHubAndHistoryAreLost(t *testing.T) {
+// Routers learn of a new configuration even after their hub has failed and the store has trimmed its history.
+func TestRoutersRecoverFromLostHubAndHistory(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.await("one hub", func() bool { return f.vms[1].hub.Follows() == "vm0" && f.vms[2].hub.Follows() == "vm0" })
+	f.waitFor("one hub", func() bool { return f.vms[1].hub.Follows() == "vm0" && f.vms[2].hub.Follows() == "vm0" })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = f.vms[0].kernel.Stop(ctx)
 	f.store.Put("keyed.op", "other", []byte("{}"))
 	f.store.Forget("keyed.op")
 	f.store.Forget("keyed.servers")
-	f.configure(2, "new", "plain")
+	f.putConfiguration(2, "new", "plain")
 	for _, vm := range f.vms[1:] {
-		f.await("version 2", func() bool { return f.get(vm, "/read/x", "new").Status == 200 })
+		f.waitFor("version 2", func() bool { return f.get(vm, "/read/x", "new").Status == 200 })
 	}
-	f.await("the next hub", func() bool { return f.vms[1].hub.Follows() == "vm1" && f.vms[2].hub.Follows() == "vm1" })
+	f.waitFor("the next hub", func() bool { return f.vms[1].hub.Follows() == "vm1" && f.vms[2].hub.Follows() == "vm1" })
 }
 
-// An endpoint that leaves gets no new work, on routers that read its entry and on those that are told.
+// A leaving endpoint gets no new requests, from routers that read its entry in the store or from those that hear of it
+// through a hub.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
@@ -275,7 +275,7 @@
 	f.store.Put("keyed.servers", "p1", nil)
 	runs := func() int64 { return f.servers["p0"].Runs() + f.servers["p1"].Runs() }
 	for _, vm := range f.vms {
-		f.await("only p2 is used", func() bool {
+		f.waitFor("only p2 is used", func() bool {
 			before := runs()
 			for range 20 {
 				f.get(vm, "/read/x", "good")
@@ -289,63 +289,63 @@
 func TestDrainedDomainGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.serve("far", server.Options{Service: "plain", Slots: 64, Zone: "b"})
+	f.addServer("far", server.Options{Service: "plain", Slots: 64, Zone: "b"})
 	f.store.Put("keyed.op", "evacuate/nowhere", []byte("{}"))
 	f.store.Put("keyed.op", "evacuate/a", []byte("{}"))
-	f.await("the drain is in force and the far server known", func() bool {
+	f.waitFor("the drain is active and the server in domain b is known", func() bool {
 		return !slices.ContainsFunc(f.vms, func(vm *entryVM) bool {
-			return len(vm.drained.Records()) < 2 || vm.dispatcher.InDomain("b") == 0
+			return len(vm.drainTracker.Records()) < 2 || vm.dispatcher.InDomain("b") == 0
 		})
 	})
-	near := func() (runs int64) {
+	runsInDrainedDomain := func() (runs int64) {
 		for _, id := range []string{"p0", "p1", "p2"} {
 			runs += f.servers[id].Runs()
 		}
 		return runs
 	}
-	before := near()
+	before := runsInDrainedDomain()
 	for range 50 {
 		for _, vm := range f.vms {
 			assert.Equal(t, f.get(vm, "/read/x", "good").Status, 200)
 		}
 	}
-	assert.Equal(t, near(), before)
+	assert.Equal(t, runsInDrainedDomain(), before)
 	f.store.Put("keyed.op", "evacuate/a", nil)
-	f.await("the domain is used again", func() bool {
+	f.waitFor("the domain is used again", func() bool {
 		f.get(f.vms[0], "/read/x", "good")
-		return near() > before
+		return runsInDrainedDomain() > before
 	})
 }
 
-// While the store is down, routers serve by what they know; when their right to do so has run out they refuse, and are
-// there again when the store is.
-func TestStoreIsDownForLong(t *testing.T) {
+// While the store is down, routers serve from the state that they have until their lease expires. They then refuse
+// requests, and serve again once the store is back.
+func TestLongStoreOutage(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 2)
 	f.store.SetDown(true)
 	assert.Equal(t, f.get(f.vms[0], "/read/x", "good").Status, 200)
-	f.await("the right to serve runs out", func() bool {
+	f.waitFor("the lease to serve expires", func() bool {
 		return f.get(f.vms[0], "/read/x", "good").Status == 503 && f.get(f.vms[1], "/read/x", "good").Status == 503
 	})
 	assert.Assert(t, !f.vms[0].front.Ready())
 	f.store.SetDown(false)
 	for _, vm := range f.vms {
-		f.await("served again", func() bool { return f.get(vm, "/read/x", "good").Status == 200 && vm.front.Ready() })
+		f.waitFor("served again", func() bool { return f.get(vm, "/read/x", "good").Status == 200 && vm.front.Ready() })
 	}
 }
 
-// A store whose connections fall silent is found out by time alone.
-func TestStoreFallsSilent(t *testing.T) {
+// A store that accepts connections but never answers is detected by timeouts alone.
+func TestUnresponsiveStore(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 1)
 	f.store.SetSilent(true)
-	f.await("the right to serve runs out", func() bool { return f.get(f.vms[0], "/read/x", "good").Status == 503 })
+	f.waitFor("the lease to serve expires", func() bool { return f.get(f.vms[0], "/read/x", "good").Status == 503 })
 	f.store.SetSilent(false)
-	f.await("served again", func() bool { return f.get(f.vms[0], "/read/x", "good").Status == 200 })
+	f.waitFor("served again", func() bool { return f.get(f.vms[0], "/read/x", "good").Status == 200 })
 }
 
-// Entries of another writer name no endpoint to use; the others hold.
-func TestForeignEntries(t *testing.T) {
+// Malformed registry entries and configurations are ignored, and valid ones keep working.
+func TestInvalidRegistryEntriesAreIgnored(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 1)
 	for i, value := range []string{
@@ -356,26 +356,26 @@
 	}
 	f.store.Put("keyed.servers", "p0", []byte("{"))
 	f.store.Put("keyed.op", "config", []byte("{"))
-	f.configure(5, "good", "plain")
-	f.await("version 5", func() bool { return f.vms[0].desired.Current().Version() == 5 })
+	f.putConfiguration(5, "good", "plain")
+	f.waitFor("version 5", func() bool { return f.vms[0].desired.Current().Version() == 5 })
 	for range 50 {
 		assert.Equal(t, f.get(f.vms[0], "/read/x", "good").Status, 200)
 	}
 }
 
-// An answer of the store that is lost after the write took effect leaves the router listed once.
-func TestLostAnswerToListing(t *testing.T) {
+// A router is registered only once when the store's response is lost after the write took effect.
+func TestLostReplyToRouterRegistration(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 1)
 	f.store.Lose(1)
 	f.start(1)
-	f.await("both know each other", func() bool {
+	f.waitFor("both know each other", func() bool {
 		return f.vms[0].routers.Load() == 2 && f.vms[1].routers.Load() == 2 && f.vms[1].hub.Follows() == "vm0"
 	})
 }
 
-// settingsWith are those of an entry VM without clients, with a grace.
-func (f *entryFleet) settingsWith(grace time.Duration) []byte {
+// settingsWithGrace returns settings of an entry VM with the given shutdown grace.
+func (f *entryFleet) settingsWithGrace(grace time.Duration) []byte {
 	return fmt.Appendf(nil, `
 [vm]
 name = "vm0"
@@ -392,38 +392,37 @@
 address = %q
 [stop]
 grace = %q
-`, ownAddress(), f.url, grace)
+`, uniqueLoopbackAddress(), f.storeAddress, grace)
 }
 
-// The settings' grace is lowered, which the log tells as taken, or the file is written just before the process is told to
-// stop. It served on and refused by the grace of its start, and the platform killed it with clients' requests open. It must
-// have stopped within the grace in force.
-func TestStopGoesByTheGraceInForce(t *testing.T) {
+// Guards against a process that shuts down by the grace it started with after the setting was lowered, by a reload or by a
+// write just before the stop: the platform then killed it with client requests open. It must stop within the new grace.
+func TestStopUsesCurrentGrace(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 0)
-	const old, lowered = 12 * time.Second, 2 * time.Second
+	const oldGrace, newGrace = 12 * time.Second, 2 * time.Second
 	for name, lower := range map[string]func(vm *entryVM, file string){
-		"reloaded": func(vm *entryVM, file string) { vm.reload(file, f.settingsWith(lowered)) },
-		"written as it stops": func(vm *entryVM, file string) {
-			assert.NilError(t, os.WriteFile(file, f.settingsWith(lowered), 0o600))
+		"reloaded": func(vm *entryVM, file string) { vm.reload(file, f.settingsWithGrace(newGrace)) },
+		"written just before the stop": func(vm *entryVM, file string) {
+			assert.NilError(t, os.WriteFile(file, f.settingsWithGrace(newGrace), 0o600))
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			vm.watchSettings(ctx, file, f.settingsWith(old), nil)
+			vm.watchSettings(ctx, file, f.settingsWithGrace(oldGrace), nil)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			file := filepath.Join(t.TempDir(), "vm.toml")
-			cfg, err := settings.ParseEntry(file, f.settingsWith(old))
+			cfg, err := settings.ParseEntry(file, f.settingsWithGrace(oldGrace))
 			assert.NilError(t, err)
 			vm, err := newEntryVM(cfg, stdout.New(io.Discard))
 			assert.NilError(t, err)
 			assert.NilError(t, vm.start(context.Background()))
 			lower(vm, file)
-			began := time.Now()
+			startTime := time.Now()
 			assert.NilError(t, vm.stop())
-			took := time.Since(began)
-			assert.Assert(t, took < lowered, "stopped after %v", took)
+			elapsed := time.Since(startTime)
+			assert.Assert(t, elapsed < newGrace, "stopped after %v", elapsed)
 		})
 	}
 }
--- a/io/command/explain.go
+++ b/io/command/explain.go
@@ -19,21 +19,21 @@
 	asJSON := flags.Bool("json", false, "print JSON")
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "savoryfall explain [--routers URL,…] [--json] REQUEST",
-		ShortHelp: "show why a request went where it went", LongHelp: page("explain"), FlagSet: flags,
+		ShortHelp: "show how a request was routed, and why", LongHelp: helpPage("explain"), FlagSet: flags,
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
-				return usageError{problem: "want one request id"}
+				return usageError{message: "expected one request ID"}
 			}
 			return explain(ctx, s, *routers, args[0], *asJSON)
 		},
 	}
 }
 
-// unexplainedError says that no router remembers the request.
-type unexplainedError struct{ request string }
+// decisionNotFoundError reports that no router has a record of the request.
+type decisionNotFoundError struct{ request string }
 
-func (e unexplainedError) Error() string {
-	return fmt.Sprintf("no router remembers request %s; each keeps its latest %d", e.request, decision.DefaultSize)
+func (e decisionNotFoundError) Error() string {
+	return fmt.Sprintf("no router has a record of request %s; each keeps its latest %d decisions", e.request, decision.DefaultSize)
 }
 
 func explain(ctx context.Context, s streams, routers, request string, asJSON bool) (err error) {
@@ -48,16 +48,16 @@
 		printDecision(s, d)
 		return nil
 	}
-	return unexplainedError{request: request}
+	return decisionNotFoundError{request: request}
 }
 
 func printDecision(s streams, d decision.Decision) {
 	fmt.Fprintf(s.out, "request %s at %s\n", d.Request, d.At.Format(time.RFC3339Nano))
 	fmt.Fprintf(s.out, "  account %s, pool %s, chat %s, waited %d ms\n", d.Account, d.Pool, d.Key, d.WaitedMs)
 	for i, a := range d.Attempts {
-		fmt.Fprintf(s.out, "  attempt %d on %s because %s: %.0f requests and %.0f tokens there, %.0f tokens the mean of %d usable of %d\n",
+		fmt.Fprintf(s.out, "  attempt %d on %s, reason %s: %.0f requests and %.0f tokens there, mean %.0f tokens over %d usable of %d endpoints\n",
 			i+1, a.Endpoint, a.Reason, a.Requests, a.Tokens, a.MeanTokens, a.Usable, a.Members)
 		fmt.Fprintf(s.out, "    %s after %d ms %s\n", a.Outcome, a.Ms, a.Problem)
 	}
-	fmt.Fprintf(s.out, "  told %d %s %s\n", d.Status, d.Told, d.Problem)
+	fmt.Fprintf(s.out, "  answered %d %s %s\n", d.Status, d.Told, d.Problem)
 }
--- a/io/command/load.go
+++ b/io/command/load.go
@@ -31,27 +31,28 @@
 func loadCommand(s streams) *ffcli.Command {
 	flags := newFlags("load", s)
 	f := loadFlags{
-		plan:     flags.String("plan", "", "the plan (TOML)"),
-		policies: flags.String("policy", "bounded", "the placement policies to run one after the other, separated by commas; all for every one"),
-		out:      flags.String("out", "", "a folder for a CSV file and a plot of each run"),
-		embedded: flags.Bool("embedded", true, "run the routers and the stand-ins in this process"),
-		json:     flags.Bool("json", false, "print one JSON object for each run, on a line of its own"),
-		routing:  flags.String("routing", "", "TOML for the section routing of the routers"),
-		limits:   flags.String("limits", "", "TOML for the section limits of the routers"),
+		plan:     flags.String("plan", "", "the load plan (TOML)"),
+		policies: flags.String("policy", "bounded", "comma-separated placement policies, run one after the other; \"all\" runs every policy"),
+		out:      flags.String("out", "", "the directory to write a CSV file and a plot of each run to"),
+		embedded: flags.Bool("embedded", true, "run the routers and the stand-ins in this process (the only supported mode)"),
+		json:     flags.Bool("json", false, "print the report of each run as one line of JSON"),
+		routing:  flags.String("routing", "", "TOML added to the routing section of the routers' settings"),
+		limits:   flags.String("limits", "", "TOML added to the limits section of the routers' settings"),
 	}
 	return &ffcli.Command{
-		Name: "load", ShortUsage: "savoryfall load --plan FILE [flags]", ShortHelp: "drive a fleet by a plan and report the three measures",
-		LongHelp: page("load"), FlagSet: flags,
+		Name: "load", ShortUsage: "savoryfall load --plan FILE [flags]",
+		ShortHelp: "run a load plan against a fleet and report cache reuse, skew and control traffic",
+		LongHelp:  helpPage("load"), FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error { return runLoad(ctx, s, f) },
 	}
 }
 
 func runLoad(ctx context.Context, s streams, f loadFlags) (err error) {
 	if *f.plan == "" {
-		return usageError{problem: "--plan is missing"}
+		return usageError{message: "missing --plan"}
 	}
 	if !*f.embedded {
-		return usageError{problem: "only --embedded runs are built so far"}
+		return usageError{message: "--embedded=false is not supported"}
 	}
 	data, err := os.ReadFile(*f.plan)
 	if err != nil {
--- a/io/command/lines_test.go
+++ b/io/command/loglines_test.go
@@ -18,28 +18,28 @@
 	"savoryfall/io/stdout"
 )
 
-// output is what a process has written so far.
-type output struct {
+// syncBuffer is a buffer that can be read while a process writes its log to it.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *syncBuffer) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.b.Write(p)
 }
 
-func (o *output) String() string {
+func (o *syncBuffer) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.b.String()
 }
 
-// random are the parts of a line that differ between two runs.
-var random = []struct {
-	pattern *regexp.Regexp
-	by      string
+// randomValues matches the parts of a log line that differ between runs.
+var randomValues = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`^ts=\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?Z `), "ts=<time> "},
 	{regexp.MustCompile(`127\.\d+\.\d+\.\d+:\d+`), "<address>"},
@@ -47,57 +47,57 @@
 	{regexp.MustCompile(`err="(\\.|[^"\\])*"`), `err="<text>"`},
 }
 
-// Collectors and people's searches go by the names and the order of the fields, so a line of each kind that an ordinary
-// life of a process brings is compared to the byte, but for its random values.
-func TestLinesStayAsTheyAre(t *testing.T) {
+// Log collectors and searches depend on the names and the order of the fields. Each kind of line that a process logs in
+// normal operation must match exactly, except for values that differ between runs.
+func TestLogLinesMatchGolden(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 0)
-	out := &output{}
+	logOutput := &syncBuffer{}
 	file := filepath.Join(t.TempDir(), "vm.toml")
-	cfg, err := settings.ParseEntry(file, f.settingsWith(time.Second))
+	cfg, err := settings.ParseEntry(file, f.settingsWithGrace(time.Second))
 	assert.NilError(t, err)
-	vm, err := newEntryVM(cfg, stdout.New(out))
+	vm, err := newEntryVM(cfg, stdout.New(logOutput))
 	assert.NilError(t, err)
 	assert.NilError(t, vm.start(context.Background()))
-	f.await("served", func() bool { return vm.front.Ready() && f.get(vm, "/read/x", "good").Status == 200 })
-	told := func(event string) func() bool {
-		return func() bool { return strings.Contains(out.String(), "event="+event+" ") }
+	f.waitFor("served", func() bool { return vm.front.Ready() && f.get(vm, "/read/x", "good").Status == 200 })
+	logged := func(event string) func() bool {
+		return func() bool { return strings.Contains(logOutput.String(), "event="+event+" ") }
 	}
-	assert.Equal(t, f.ask(vm, "GET", "/read/x", "bad", "wrong-key").Status, 401)
-	assert.Equal(t, f.ask(vm, "GET", "/none/x", "good", "wrong-path").Status, 404)
+	assert.Equal(t, f.send(vm, "GET", "/read/x", "bad", "wrong-key").Status, 401)
+	assert.Equal(t, f.send(vm, "GET", "/none/x", "good", "wrong-path").Status, 404)
 	f.servers["q0"].Leave()
 	f.store.Put("keyed.servers", "q0", nil)
 	f.store.Put("keyed.servers", "odd", []byte("["))
 	f.store.Put("keyed.op", "config", []byte("{"))
-	f.configure(4, "good", "plain")
+	f.putConfiguration(4, "good", "plain")
 	for _, event := range []string{"endpointGone", "entryUnreadable", "configurationUnreadable", "configurationInForce version=4"} {
-		f.await(event, told(event))
+		f.waitFor(event, logged(event))
 	}
 	f.store.SetDown(true)
-	f.await("lost", told("storeLost topic=configuration"))
-	f.await("lost", told("storeLost topic=registry"))
+	f.waitFor("lost", logged("storeLost topic=configuration"))
+	f.waitFor("lost", logged("storeLost topic=registry"))
 	f.store.SetDown(false)
-	f.await("regained", told("storeRegained topic=configuration"))
-	f.await("regained", told("storeRegained topic=registry"))
+	f.waitFor("regained", logged("storeRegained topic=configuration"))
+	f.waitFor("regained", logged("storeRegained topic=registry"))
 	assert.NilError(t, os.WriteFile(file, []byte("["), 0o600))
 	vm.reload(file, []byte("["))
-	vm.reload(file, f.settingsWith(1500*time.Millisecond))
+	vm.reload(file, f.settingsWithGrace(1500*time.Millisecond))
 	assert.NilError(t, vm.stop())
-	assert.Equal(t, kinds(out.String()), strings.TrimPrefix(wantLines, "\n"))
+	assert.Equal(t, distinctLines(logOutput.String()), strings.TrimPrefix(wantLines, "\n"))
 }
 
-// chance are lines that there may be or not: of a store that is down for a moment, and of the requests that wait for the
-// first endpoint.
-var chance = regexp.MustCompile(`event=(notListed|routersUnknown) |request=r\d+ `)
+// optionalLines matches lines that depend on timing: of a store that is briefly unavailable, and of requests that are sent
+// until the first endpoint is known.
+var optionalLines = regexp.MustCompile(`event=(notListed|routersUnknown) |request=r\d+ `)
 
-// kinds are the different lines, their random values made equal, in the order of the alphabet.
-func kinds(text string) string {
+// distinctLines replaces the random values and returns the distinct lines in sorted order.
+func distinctLines(output string) string {
 	var lines []string
-	for line := range strings.Lines(text) {
-		for _, r := range random {
-			line = r.pattern.ReplaceAllString(line, r.by)
+	for line := range strings.Lines(output) {
+		for _, r := range randomValues {
+			line = r.pattern.ReplaceAllString(line, r.replacement)
 		}
-		if !chance.MatchString(line) {
+		if !optionalLines.MatchString(line) {
 			lines = append(lines, line)
 		}
 	}
--- a/io/command/logs.go
+++ b/io/command/logs.go
@@ -22,27 +22,27 @@
 
 func logsCommand(s streams) *ffcli.Command {
 	explain := &ffcli.Command{
-		Name: "explain", ShortUsage: "savoryfall logs explain ID FILE...", ShortHelp: "what became of one request, and why",
-		FlagSet: newFlags("logs explain", s), LongHelp: page("logs"),
+		Name: "explain", ShortUsage: "savoryfall logs explain ID FILE...", ShortHelp: "explain what happened to a request, and why",
+		FlagSet: newFlags("logs explain", s), LongHelp: helpPage("logs"),
 		Exec: func(_ context.Context, args []string) error { return explainLogs(s, args) },
 	}
 	flags := newFlags("logs report", s)
-	span := flags.Duration("span", time.Second, "the length of a row")
-	picture := flags.String("plot", "", "draw the table into this file (PNG)")
+	rowSpan := flags.Duration("span", time.Second, "the time span that a row covers")
+	plotFile := flags.String("plot", "", "also plot the table to this PNG file")
 	report := &ffcli.Command{
 		Name: "report", ShortUsage: "savoryfall logs report [--span 1s] [--plot FILE] FILE...",
-		ShortHelp: "requests that were not served, by cause over time", FlagSet: flags, LongHelp: page("logs"),
-		Exec: func(_ context.Context, args []string) error { return reportLogs(s, args, *span, *picture) },
+		ShortHelp: "count the requests that were not served, by cause over time", FlagSet: flags, LongHelp: helpPage("logs"),
+		Exec: func(_ context.Context, args []string) error { return reportLogs(s, args, *rowSpan, *plotFile) },
 	}
 	return &ffcli.Command{
-		Name: "logs", ShortUsage: "savoryfall logs explain|report ...", ShortHelp: "read the logs of savoryfall entry",
-		FlagSet: newFlags("logs", s), LongHelp: page("logs"), Subcommands: []*ffcli.Command{explain, report}, Exec: noCommand,
+		Name: "logs", ShortUsage: "savoryfall logs explain|report ...", ShortHelp: "analyze the logs of savoryfall entry",
+		FlagSet: newFlags("logs", s), LongHelp: helpPage("logs"), Subcommands: []*ffcli.Command{explain, report}, Exec: noSubcommand,
 	}
 }
 
 func readLogs(files []string) (l *logstory.Log, err error) {
 	if len(files) == 0 {
-		return nil, usageError{problem: "a log file is missing"}
+		return nil, usageError{message: "missing log file"}
 	}
 	l = &logstory.Log{}
 	for _, file := range files {
@@ -66,7 +66,7 @@
 
 func explainLogs(s streams, args []string) (err error) {
 	if len(args) < 2 {
-		return usageError{problem: "want the id of a request and log files"}
+		return usageError{message: "expected a request ID and at least one log file"}
 	}
 	l, err := readLogs(args[1:])
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	story := l.Story(args[0])
 	if len(story) == 0 {
-		return fmt.Errorf("none of %d lines names request %s: it was served, or its line was dropped", l.Len(), args[0])
+		return fmt.Errorf("none of %d log lines mentions request %s: it was served at the first try, or its line was dropped", l.Len(), args[0])
 	}
 	for _, line := range story {
 		err = printLine(s, line)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// printLine prints the line as it was written, and what it says in words.
+// printLine prints the log line verbatim, followed by its explanation.
 func printLine(s streams, line logstory.Line) (err error) {
 	_, err = fmt.Fprintln(s.out, line.Text)
 	for _, sentence := range line.Words {
@@ -96,20 +96,20 @@
 	return err
 }
 
-func reportLogs(s streams, args []string, span time.Duration, picture string) (err error) {
-	if span <= 0 {
-		return usageError{problem: "--span must be above 0"}
+func reportLogs(s streams, args []string, rowSpan time.Duration, plotFile string) (err error) {
+	if rowSpan <= 0 {
+		return usageError{message: "--span must be above 0"}
 	}
 	l, err := readLogs(args)
 	if err != nil {
 		return err
 	}
-	buckets, causes := l.Report(span)
+	buckets, causes := l.Report(rowSpan)
 	err = printReport(s, buckets, causes)
-	if err != nil || picture == "" {
+	if err != nil || plotFile == "" {
 		return err
 	}
-	return plotReport(picture, buckets, causes)
+	return plotReport(plotFile, buckets, causes)
 }
 
 func printReport(s streams, buckets []logstory.Bucket, causes []logstory.Cause) (err error) {
@@ -129,14 +129,14 @@
 	return w.Flush()
 }
 
-// The size of the picture.
+// The size of the plot.
 const (
-	pictureWidth  = 10 * vg.Inch
-	pictureHeight = 4 * vg.Inch
+	plotWidth  = 10 * vg.Inch
+	plotHeight = 4 * vg.Inch
 )
 
 func plotReport(file string, buckets []logstory.Bucket, causes []logstory.Cause) (err error) {
-	defer annotate.Error(&err, "draw %s", file)
+	defer annotate.Error(&err, "plot %s", file)
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "requests not served"
 	var lines []any
@@ -151,5 +151,5 @@
 	if err != nil {
 		return err
 	}
-	return p.Save(pictureWidth, pictureHeight, file)
+	return p.Save(plotWidth, plotHeight, file)
 }
--- a/io/command/release.go
+++ b/io/command/release.go
@@ -21,7 +21,7 @@
 
 func init() { register(releaseCommand) }
 
-// releaseFlags are those that all commands on release notes share.
+// releaseFlags holds the flags that all release subcommands share.
 type releaseFlags struct {
 	log     *string
 	routers *string
@@ -33,32 +33,32 @@
 
 func addReleaseFlags(flags *flag.FlagSet) (f releaseFlags) {
 	f.log = flags.String("log", "", "the base URL of the platform's log service")
-	f.routers = flags.String("routers", "", "the operators' URLs of the routers, separated by commas")
+	f.routers = flags.String("routers", "", "comma-separated operator URLs of the routers")
 	f.json = flags.Bool("json", false, "print JSON")
-	f.wait = flags.Duration("wait", platformTimeout, "how long to wait until a note is in force on every router")
+	f.wait = flags.Duration("wait", platformTimeout, "how long to wait until every router has applied the note")
 	return f
 }
 
 func releaseCommand(s streams) *ffcli.Command {
 	parent := &ffcli.Command{
 		Name: "release", ShortUsage: "savoryfall release check|diff|publish|show [flags] [FILE]",
-		ShortHelp: "publish the next release note, and read back what is in force",
-		FlagSet:   newFlags("release", s), LongHelp: page("release"), Exec: noCommand,
+		ShortHelp: "publish release notes and show which configuration is active",
+		FlagSet:   newFlags("release", s), LongHelp: helpPage("release"), Exec: noSubcommand,
 	}
 	for _, sub := range []struct {
 		name, help string
 		run        func(context.Context, streams, releaseFlags, []string) error
 	}{
-		{"check", "check a note, against what is in force when --log is given", checkNote},
+		{"check", "check a note; with --log, also against the active configuration", checkNote},
 		{"diff", "show what a note would change", diffNote},
-		{"publish", "publish a note and wait until it is in force", publishNote},
-		{"show", "show what is in force on every router", showRelease},
+		{"publish", "publish a note and wait until it is active", publishNote},
+		{"show", "show the active configuration of every router", showRelease},
 	} {
 		flags := newFlags("release "+sub.name, s)
 		shared := addReleaseFlags(flags)
 		parent.Subcommands = append(parent.Subcommands, &ffcli.Command{
 			Name: sub.name, ShortUsage: "savoryfall release " + sub.name + " [flags] [FILE]", ShortHelp: sub.help,
-			FlagSet: flags, LongHelp: page("release"),
+			FlagSet: flags, LongHelp: helpPage("release"),
 			Exec: func(ctx context.Context, args []string) error { return sub.run(ctx, s, shared, args) },
 		})
 	}
@@ -66,7 +66,7 @@
 }
 
 func readNote(args []string) (n *note.Note, err error) {
-	file, err := oneFile(args)
+	file, err := singleFile(args)
 	if err != nil {
 		return nil, err
 	}
@@ -77,15 +77,15 @@
 	return note.Parse(file, data)
 }
 
-func (f releaseFlags) client() (l *platformlog.Log, err error) {
+func (f releaseFlags) logClient() (l *platformlog.Log, err error) {
 	if *f.log == "" {
-		return nil, usageError{problem: "--log is missing"}
+		return nil, usageError{message: "missing --log"}
 	}
 	return platformlog.New(*f.log, &http.Client{Timeout: platformTimeout}), nil
 }
 
-func (f releaseFlags) inForce(ctx context.Context) (c *inforce.Configuration, err error) {
-	l, err := f.client()
+func (f releaseFlags) activeConfiguration(ctx context.Context) (c *inforce.Configuration, err error) {
+	l, err := f.logClient()
 	if err != nil {
 		return nil, err
 	}
@@ -93,10 +93,10 @@
 	return c, err
 }
 
-// refusedError says that a note is sound but would not be, or was not, accepted.
-type refusedError struct{ id, reason string }
+// rejectedError reports a well-formed note that was not, or would not be, accepted.
+type rejectedError struct{ id, reason string }
 
-func (e refusedError) Error() string { return fmt.Sprintf("note %q is refused: %s", e.id, e.reason) }
+func (e rejectedError) Error() string { return fmt.Sprintf("note %q is rejected: %s", e.id, e.reason) }
 
 func checkNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
 	n, err := readNote(args)
@@ -104,19 +104,19 @@
 		return err
 	}
 	if *f.log != "" {
-		c, err := f.inForce(ctx)
+		c, err := f.activeConfiguration(ctx)
 		if err != nil {
 			return err
 		}
 		if refusal := c.Check(n); refusal != "" {
-			return refusedError{id: n.ID(), reason: refusal}
+			return rejectedError{id: n.ID(), reason: refusal}
 		}
 	}
-	_, err = fmt.Fprintf(s.out, "%s: sound, %d items\n", args[0], len(n.Touched()))
+	_, err = fmt.Fprintf(s.out, "%s: valid, %d items\n", args[0], len(n.Touched()))
 	return err
 }
 
-// difference is one item that a note would change.
+// difference describes one item that a note would add, change or withdraw.
 type difference struct {
 	Verb   string         `json:"verb"`
 	Item   string         `json:"item"`
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := f.inForce(ctx)
+	c, err := f.activeConfiguration(ctx)
 	if err != nil {
 		return err
 	}
@@ -141,22 +141,22 @@
 		printDifference(s, d)
 	}
 	if refusal := c.Check(n); refusal != "" {
-		return refusedError{id: n.ID(), reason: refusal}
+		return rejectedError{id: n.ID(), reason: refusal}
 	}
 	return nil
 }
 
 func differences(c *inforce.Configuration, n *note.Note) (list []difference) {
-	before := map[string]map[string]any{}
+	current := map[string]map[string]any{}
 	for _, i := range c.Items() {
-		before[i.Key()] = i.Values()
+		current[i.Key()] = i.Values()
 	}
 	for _, part := range []struct {
 		verb  string
 		items []note.Item
 	}{{"added", n.Added()}, {"changed", n.Changed()}, {"withdrawn", n.Withdrawn()}} {
 		for _, i := range part.items {
-			list = append(list, difference{Verb: part.verb, Item: i.Key(), Before: before[i.Key()], After: i.Values()})
+			list = append(list, difference{Verb: part.verb, Item: i.Key(), Before: current[i.Key()], After: i.Values()})
 		}
 	}
 	return list
@@ -193,46 +193,46 @@
 	return keys
 }
 
-const publishTries = 3
+const publishAttempts = 3
 
-// publishNote may append the note more than once when an answer is lost; its id makes that harmless.
+// publishNote may append the note more than once when a response is lost. This is safe, since a note is applied once by its ID.
 func publishNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
 	n, err := readNote(args)
 	if err != nil {
 		return err
 	}
-	l, err := f.client()
+	l, err := f.logClient()
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	for range publishTries {
+	start := time.Now()
+	for range publishAttempts {
 		_, err = l.Append(ctx, configuration.Stream, inforce.NoteRecord(n.Text()))
 		if err == nil {
 			break
 		}
-		fmt.Fprintln(s.err, "append failed, trying again:", err)
+		fmt.Fprintln(s.err, "append failed, retrying:", err)
 	}
 	if err != nil {
 		return err
 	}
-	c, err := f.inForce(ctx)
+	c, err := f.activeConfiguration(ctx)
 	if err != nil {
 		return err
 	}
 	if refusal, known := c.Refusal(n.ID()); !known || refusal != "" {
-		return refusedError{id: n.ID(), reason: refusal}
+		return rejectedError{id: n.ID(), reason: refusal}
 	}
 	fmt.Fprintf(s.out, "note %q is accepted at offset %d, digest %s\n", n.ID(), c.Next()-1, c.Digest())
-	return f.awaitInForce(ctx, s, c, began)
+	return f.waitUntilApplied(ctx, s, c, start)
 }
 
-// awaitInForce reads back from every router until each has applied the note.
-func (f releaseFlags) awaitInForce(ctx context.Context, s streams, c *inforce.Configuration, began time.Time) (err error) {
+// waitUntilApplied polls the status of each router until all have applied the note.
+func (f releaseFlags) waitUntilApplied(ctx context.Context, s streams, c *inforce.Configuration, start time.Time) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, *f.wait)
 	defer cancel()
-	for _, url := range f.urls() {
-		err = awaitRouter(ctx, s, url, c, began)
+	for _, url := range f.routerURLs() {
+		err = waitForRouter(ctx, s, url, c, start)
 		if err != nil {
 			return err
 		}
@@ -240,45 +240,45 @@
 	return nil
 }
 
-func (f releaseFlags) urls() (urls []string) {
+func (f releaseFlags) routerURLs() (routerURLs []string) {
 	for _, u := range strings.Split(*f.routers, ",") {
 		if u != "" {
-			urls = append(urls, u)
+			routerURLs = append(routerURLs, u)
 		}
 	}
-	return urls
+	return routerURLs
 }
 
-// lagError says that a router did not have the note in force in time.
-type lagError struct {
+// notAppliedError reports that a router did not apply the note in time.
+type notAppliedError struct {
 	router string
 	cause  error
 }
 
-func (e lagError) Error() string {
-	return fmt.Sprintf("router %s does not have the note in force yet: %v", e.router, e.cause)
+func (e notAppliedError) Error() string {
+	return fmt.Sprintf("router %s has not applied the note yet: %v", e.router, e.cause)
 }
 
-const readBackPeriod = 100 * time.Millisecond
+const statusPollInterval = 100 * time.Millisecond
 
-func awaitRouter(ctx context.Context, s streams, url string, c *inforce.Configuration, began time.Time) (err error) {
+func waitForRouter(ctx context.Context, s streams, url string, c *inforce.Configuration, start time.Time) (err error) {
 	for {
 		var status operator.Status
 		err = getJSON(ctx, url+"/status", &status)
 		if err == nil && status.Release.Next >= c.Next() {
-			late := max(status.Release.AppliedAt.Sub(began), 0)
-			_, err = fmt.Fprintf(s.out, "%s: in force after %.2f s, by the %s\n", status.VM, late.Seconds(), status.Release.Source)
+			delay := max(status.Release.AppliedAt.Sub(start), 0)
+			_, err = fmt.Fprintf(s.out, "%s: active after %.2f s, from the %s\n", status.VM, delay.Seconds(), status.Release.Source)
 			return err
 		}
 		select {
 		case <-ctx.Done():
-			return lagError{router: url, cause: ctx.Err()}
-		case <-time.After(readBackPeriod):
+			return notAppliedError{router: url, cause: ctx.Err()}
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
-// routerRelease is what one router has in force.
+// routerRelease describes the active configuration of one router.
 type routerRelease struct {
 	Router  string           `json:"router"`
 	Release operator.Release `json:"release"`
@@ -287,12 +287,12 @@
 }
 
 func showRelease(ctx context.Context, s streams, f releaseFlags, _ []string) (err error) {
-	if len(f.urls()) == 0 {
-		return usageError{problem: "--routers is missing"}
+	if len(f.routerURLs()) == 0 {
+		return usageError{message: "missing --routers"}
 	}
 	var list []routerRelease
 	newest := int64(0)
-	for _, url := range f.urls() {
+	for _, url := range f.routerURLs() {
 		var status operator.Status
 		r := routerRelease{Router: url}
 		if err := getJSON(ctx, url+"/status", &status); err != nil {
--- a/io/command/router.go
+++ b/io/command/router.go
@@ -21,8 +21,8 @@
 	flags := newFlags("router", s)
 	file := flags.String("settings", "", "the settings file (TOML)")
 	return &ffcli.Command{
-		Name: "router", ShortUsage: "savoryfall router --settings FILE", ShortHelp: "run a router on an entry VM",
-		LongHelp: page("router"), FlagSet: flags, Options: []ff.Option{ff.WithEnvVarPrefix("SAVORYFALL")},
+		Name: "router", ShortUsage: "savoryfall router --settings FILE", ShortHelp: "run a router that is configured by release notes",
+		LongHelp: helpPage("router"), FlagSet: flags, Options: []ff.Option{ff.WithEnvVarPrefix("SAVORYFALL")},
 		Exec: func(ctx context.Context, _ []string) error { return runRouter(ctx, s, *file) },
 	}
 }
@@ -34,7 +34,7 @@
 
 func readSettings(file string) (s *settings.Settings, err error) {
 	if file == "" {
-		return nil, usageError{problem: "--settings is missing"}
+		return nil, usageError{message: "missing --settings"}
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -44,8 +44,8 @@
 }
 
 func runRouter(ctx context.Context, s streams, file string) (err error) {
-	outliveLogReader()
-	// Before all else and until the end, as the signal ends a process that does not take it.
+	ignoreBrokenPipe()
+	// Catch SIGHUP from startup to exit: by default, the signal ends the process.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
@@ -62,23 +62,23 @@
 	if err != nil {
 		return err
 	}
-	keepSettings(ctx, logger, hangup)
+	logIgnoredHangups(ctx, logger, hangup)
 	return stopRouter(r, cfg)
 }
 
-// keepSettings tells whoever has changed the settings that they hold from the next start on, until the router is to stop.
-func keepSettings(ctx context.Context, logger log.Logger, hangup <-chan os.Signal) {
+// logIgnoredHangups logs, for each SIGHUP until ctx ends, that changed settings take effect only at the next start.
+func logIgnoredHangups(ctx context.Context, logger log.Logger, hangup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
-			_ = logger.Log("event", "settingsKept", "why", "they are read at the start only")
+			_ = logger.Log("event", "settingsKept", "why", "settings are read only at startup")
 		}
 	}
 }
 
-// stopRouter drains; a second signal, or the bound of the settings, ends the waiting.
+// stopRouter drains the router; a second signal, or the drain timeout of the settings, ends the wait.
 func stopRouter(r *router.Router, cfg *settings.Settings) (err error) {
 	defer annotate.Error(&err, "stop router")
 	ctx, cancel := context.WithTimeout(context.Background(), cfg.Limits().Drain()+cfg.Callers().LameDuck())
--- a/io/command/session_test.go
+++ b/io/command/session_test.go
@@ -34,29 +34,31 @@
 	}})
 }
 
-// TestSessions runs whole sessions, every process on its own, and compares all that can be seen with golden text.
+// TestSessions runs the scripts in testdata/session, each command as its own process, and compares the output with golden
+// text.
 func TestSessions(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/session",
 		Setup: func(e *testscript.Env) error {
-			// The race detector sleeps a second at the end of each process otherwise.
+			// By default, the race detector sleeps for a second at the exit of each process.
 			e.Setenv("GORACE", "atexit_sleep_ms=0")
 			return nil
 		},
 		UpdateScripts: os.Getenv("UPDATE_GOLDEN") != "",
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"port": pickPort, "await": await, "call": call, "complete": complete, "fill": fill, "shown": shown, "spans": spans,
+			"port": pickPort, "waitfor": waitForOK, "call": call, "complete": complete,
+			"expandenv": expandEnv, "normalize": normalize, "spans": spans,
 		},
 	})
 }
 
-// Ports below the range that the system gives out, so that no other socket takes one between choice and use.
+// The ports are below the system's ephemeral range, so that no other socket takes one between the choice and the use.
 var nextPort atomic.Int64
 
 const (
-	firstPort = 21000
-	lastPort  = 29000
-	patience  = 15 * time.Second
+	firstPort   = 21000
+	lastPort    = 29000
+	waitTimeout = 15 * time.Second
 )
 
 func pickPort(ts *testscript.TestScript, _ bool, args []string) {
@@ -79,9 +81,9 @@
 	return ""
 }
 
-// await polls a URL until it answers 200.
-func await(ts *testscript.TestScript, _ bool, args []string) {
-	deadline := time.Now().Add(patience)
+// waitForOK polls a URL until it answers 200.
+func waitForOK(ts *testscript.TestScript, _ bool, args []string) {
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		resp, err := http.Get(args[0])
 		if err == nil {
@@ -92,7 +94,7 @@
 		}
 		<-time.After(10 * time.Millisecond)
 	}
-	ts.Fatalf("%s did not answer 200", args[0])
+	ts.Fatalf("no response with status 200 from %s", args[0])
 }
 
 // call makes one request and prints the answer: call METHOD URL [NAME=VALUE headers] [@FILE or text].
@@ -117,11 +119,11 @@
 	fmt.Fprintf(ts.Stdout(), "%d outcome=%s retryAfter=%s\n%s\n", resp.StatusCode, resp.Header.Get("Savoryfall-Outcome"),
 		resp.Header.Get("Retry-After"), strings.TrimSpace(string(body)))
 	if err != nil {
-		fmt.Fprintf(ts.Stdout(), "broken off: %v\n", err)
+		fmt.Fprintf(ts.Stdout(), "response ended early: %v\n", err)
 	}
 }
 
-// complete streams a completion by the OpenAI client and prints the whole text: complete BASE KEY MODEL TEXT.
+// complete streams a completion with the OpenAI client and prints the complete text: complete BASE KEY MODEL TEXT.
 func complete(ts *testscript.TestScript, _ bool, args []string) {
 	c := openai.NewClient(option.WithBaseURL(args[0]+"/v1"), option.WithAPIKey(args[1]), option.WithMaxRetries(0))
 	s := c.Chat.Completions.NewStreaming(context.Background(), openai.ChatCompletionNewParams{
@@ -130,7 +132,7 @@
 	var all openai.ChatCompletionAccumulator
 	for s.Next() {
 		if !all.AddChunk(s.Current()) {
-			fmt.Fprintln(ts.Stdout(), "a chunk does not fit the others")
+			fmt.Fprintln(ts.Stdout(), "inconsistent chunk")
 		}
 	}
 	if s.Err() != nil {
@@ -140,17 +142,17 @@
 	fmt.Fprintln(ts.Stdout(), all.Choices[0].FinishReason, strings.TrimSpace(all.Choices[0].Message.Content))
 }
 
-// fill replaces $NAME in a file by the environment: fill FILE…
-func fill(ts *testscript.TestScript, _ bool, args []string) {
+// expandEnv replaces $NAME in files by environment variables: expandenv FILE...
+func expandEnv(ts *testscript.TestScript, _ bool, args []string) {
 	for _, file := range args {
 		text := os.Expand(ts.ReadFile(file), ts.Getenv)
 		ts.Check(os.WriteFile(ts.MkAbs(file), []byte(text), 0o600))
 	}
 }
 
-var normal = []struct {
-	pattern *regexp.Regexp
-	by      string
+var normalizations = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`\bts=\S+ `), ""},
 	{regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`), "<id>"},
@@ -161,12 +163,12 @@
 	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "<address>"},
 	{regexp.MustCompile(`"created":\d+`), `"created":<time>`},
 	{regexp.MustCompile(`after \d+\.\d+ s`), "after <n> s"},
-	{regexp.MustCompile(`by the (log|peer)`), "by the <source>"},
+	{regexp.MustCompile(`from the (log|peer)`), "from the <source>"},
 	{regexp.MustCompile(`source=(log|peer)`), "source=<source>"},
 }
 
-// shown prints a file with only its random values made equal: shown FILE [PATTERN of lines to keep].
-func shown(ts *testscript.TestScript, _ bool, args []string) {
+// normalize prints a file with placeholders for values that differ between runs: normalize FILE [PATTERN of lines to keep].
+func normalize(ts *testscript.TestScript, _ bool, args []string) {
 	keep := regexp.MustCompile("")
 	if len(args) > 1 {
 		keep = regexp.MustCompile(args[1])
@@ -175,8 +177,8 @@
 		if !keep.MatchString(line) {
 			continue
 		}
-		for _, n := range normal {
-			line = n.pattern.ReplaceAllString(line, n.by)
+		for _, n := range normalizations {
+			line = n.pattern.ReplaceAllString(line, n.replacement)
 		}
 		fmt.Fprint(ts.Stdout(), line)
 	}
@@ -193,7 +195,7 @@
 	}
 }
 
-// spans prints the spans of a file as trees, in the order of their start: spans FILE.
+// spans prints the trace spans in a file as trees, ordered by start time: spans FILE.
 func spans(ts *testscript.TestScript, _ bool, args []string) {
 	var all []span
 	d := json.NewDecoder(strings.NewReader(ts.ReadFile(args[0])))
@@ -219,8 +221,8 @@
 		fmt.Fprintf(&line, " %s=%v", a.Key, a.Value.Value)
 	}
 	text := line.String()
-	for _, n := range normal {
-		text = n.pattern.ReplaceAllString(text, n.by)
+	for _, n := range normalizations {
+		text = n.pattern.ReplaceAllString(text, n.replacement)
 	}
 	fmt.Fprintln(w, text)
 	for _, child := range all {
--- a/io/command/settings.go
+++ b/io/command/settings.go
@@ -13,10 +13,10 @@
 
 func settingsCommand(s streams) *ffcli.Command {
 	flags := newFlags("settings check", s)
-	entry := flags.Bool("entry", false, "the file is of savoryfall entry")
+	entry := flags.Bool("entry", false, "check a settings file of savoryfall entry")
 	check := &ffcli.Command{
-		Name: "check", ShortUsage: "savoryfall settings check [--entry] FILE", ShortHelp: "check a settings file and the files that it names",
-		FlagSet: flags, LongHelp: page("settings"),
+		Name: "check", ShortUsage: "savoryfall settings check [--entry] FILE", ShortHelp: "check a settings file and the files that it refers to",
+		FlagSet: flags, LongHelp: helpPage("settings"),
 		Exec: func(_ context.Context, args []string) error {
 			if *entry {
 				return checkEntrySettings(s, args)
@@ -25,14 +25,14 @@
 		},
 	}
 	return &ffcli.Command{
-		Name: "settings", ShortUsage: "savoryfall settings check FILE", ShortHelp: "check settings",
-		FlagSet: newFlags("settings", s), LongHelp: page("settings"), Subcommands: []*ffcli.Command{check},
-		Exec: noCommand,
+		Name: "settings", ShortUsage: "savoryfall settings check FILE", ShortHelp: "check settings files",
+		FlagSet: newFlags("settings", s), LongHelp: helpPage("settings"), Subcommands: []*ffcli.Command{check},
+		Exec: noSubcommand,
 	}
 }
 
 func checkSettings(s streams, args []string) (err error) {
-	file, err := oneFile(args)
+	file, err := singleFile(args)
 	if err != nil {
 		return err
 	}
@@ -44,12 +44,12 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	_, err = fmt.Fprintf(s.out, "%s: sound\n", file)
+	_, err = fmt.Fprintf(s.out, "%s: valid\n", file)
 	return err
 }
 
 func checkEntrySettings(s streams, args []string) (err error) {
-	file, err := oneFile(args)
+	file, err := singleFile(args)
 	if err != nil {
 		return err
 	}
@@ -57,6 +57,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "%s: sound\n", file)
+	_, err = fmt.Fprintf(s.out, "%s: valid\n", file)
 	return err
 }
--- a/io/command/status.go
+++ b/io/command/status.go
@@ -20,11 +20,11 @@
 
 func statusCommand(s streams) *ffcli.Command {
 	flags := newFlags("status", s)
-	routers := flags.String("routers", "http://127.0.0.1:7080", "the operators' URLs of the routers, separated by commas")
+	routers := flags.String("routers", "http://127.0.0.1:7080", "comma-separated operator URLs of the routers")
 	asJSON := flags.Bool("json", false, "print JSON")
 	return &ffcli.Command{
 		Name: "status", ShortUsage: "savoryfall status [--routers URL,…] [--json]",
-		ShortHelp: "show what each router believes", LongHelp: page("status"), FlagSet: flags,
+		ShortHelp: "show the state of each router", LongHelp: helpPage("status"), FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error { return showStatus(ctx, s, *routers, *asJSON) },
 	}
 }
@@ -33,9 +33,9 @@
 	var all []operator.Status
 	for _, url := range strings.Split(routers, ",") {
 		var status operator.Status
-		e := getJSON(ctx, url+"/status", &status)
-		if e != nil {
-			err = errors.Join(err, e)
+		statusErr := getJSON(ctx, url+"/status", &status)
+		if statusErr != nil {
+			err = errors.Join(err, statusErr)
 			continue
 		}
 		all = append(all, status)
@@ -63,11 +63,11 @@
 }
 
 const (
-	answerTimeout = 5 * time.Second
-	maxAnswer     = 64 << 20
+	responseTimeout  = 5 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// statusError is an answer of a router that is not 200.
+// statusError is a response of a router with a status other than 200.
 type statusError struct {
 	status int
 	text   string
@@ -76,8 +76,8 @@
 func (e statusError) Error() string { return fmt.Sprintf("%d: %s", e.status, e.text) }
 
 func getJSON(ctx context.Context, url string, v any) (err error) {
-	defer annotate.Error(&err, "ask %s", url)
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	defer annotate.Error(&err, "get %s", url)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -88,7 +88,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command savoryfall routes very many returning chats from their callers to model engines and plain services.
+// Command savoryfall routes client requests, mostly multi-turn chats, to model engines and plain services.
 package main
 
 import (
