--- a/io/router/doc.go
+++ b/io/router/doc.go
@@ -1,2 +1,2 @@
-// Package router puts the services of one router process together.
+// Package router builds and runs the services of one router process.
 package router
--- a/io/router/files.go
+++ b/io/router/files.go
@@ -14,7 +14,7 @@
 	"savoryfall/core/settings"
 )
 
-// serverTLS is nil when no certificate is set.
+// serverTLS returns the TLS configuration of a server, or nil if no certificate is set.
 func serverTLS(certificate, key string) (cfg *tls.Config, err error) {
 	if certificate == "" {
 		return nil, nil
@@ -27,7 +27,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// mutualTLS lets only peers in, and calls only peers, that the authority has signed.
+// mutualTLS returns a TLS configuration that accepts and connects to only those peers whose certificate the authority signed.
 func mutualTLS(certificate, key, authority string) (cfg *tls.Config, err error) {
 	cfg, err = serverTLS(certificate, key)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return cfg, nil
 }
 
-// clientTLS is nil, which means the system's authorities, when none is set.
+// clientTLS returns a TLS configuration that trusts the authority, or nil, for the system's authorities, if none is set.
 func clientTLS(authority string) (cfg *tls.Config, err error) {
 	if authority == "" {
 		return nil, nil
@@ -62,7 +62,7 @@
 	}
 	pool = x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, errors.New("no certificate in the file")
+		return nil, errors.New("the file contains no certificate")
 	}
 	return pool, nil
 }
@@ -76,35 +76,35 @@
 	return bytes.TrimSpace(secret), err
 }
 
-// named marks requests to the platform with the VM that sends them.
-type named struct {
+// vmHeaderTransport adds a header with the name of this VM to requests to the platform.
+type vmHeaderTransport struct {
 	vm   string
 	next http.RoundTripper
 }
 
-func (n named) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n vmHeaderTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set(header.VM, n.vm)
 	return n.next.RoundTrip(r)
 }
 
-// CheckFiles reads every file that the settings name, and returns all that cannot be used.
+// CheckFiles reads every file that the settings refer to, and returns the errors of all that can't be used.
 func CheckFiles(s *settings.Settings) error {
-	_, callers := serverTLS(s.Callers().Certificate(), s.Callers().Key())
-	_, operators := serverTLS(s.Operators().Certificate(), s.Operators().Key())
-	var peers error
+	_, callersErr := serverTLS(s.Callers().Certificate(), s.Callers().Key())
+	_, operatorsErr := serverTLS(s.Operators().Certificate(), s.Operators().Key())
+	var peersErr error
 	if s.Peers().Certificate() != "" {
-		_, peers = mutualTLS(s.Peers().Certificate(), s.Peers().Key(), s.Peers().Authority())
+		_, peersErr = mutualTLS(s.Peers().Certificate(), s.Peers().Key(), s.Peers().Authority())
 	}
-	_, platform := clientTLS(s.Platform().Authority())
-	_, tickets := readSecret(s.Routing().TicketKey())
+	_, platformErr := clientTLS(s.Platform().Authority())
+	_, ticketErr := readSecret(s.Routing().TicketKey())
 	return errors.Join(
-		atKey("callers.certificate", callers), atKey("operators.certificate", operators),
-		atKey("peers.certificate", peers), atKey("platform.authority", platform), atKey("routing.ticketKeyFile", tickets),
+		withKey("callers.certificate", callersErr), withKey("operators.certificate", operatorsErr),
+		withKey("peers.certificate", peersErr), withKey("platform.authority", platformErr), withKey("routing.ticketKeyFile", ticketErr),
 	)
 }
 
-func atKey(key string, err error) error {
+func withKey(key string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/io/router/router.go
+++ b/io/router/router.go
@@ -39,14 +39,14 @@
 	"savoryfall/io/vmlist"
 )
 
-// Router is one router process, or one of several in a process.
+// Router is one router; a process may run several.
 type Router struct {
 	kernel   kernel.Kernel
 	settings *settings.Settings
 	logger   log.Logger
 }
 
-// The names of the services, by which they find each other.
+// The names under which services are registered and looked up.
 const (
 	nameTracing       = "tracing"
 	nameMeter         = "meter"
@@ -65,18 +65,18 @@
 	nameFront         = "front"
 	nameCallers       = "callers"
 	nameOperators     = "operators"
-	nameWatch         = "watch"
+	nameVMWatcher     = "watch"
 	nameSnapshots     = "snapshots"
 	nameLeases        = "leases"
 	nameOrders        = "orders"
 )
 
-// New builds a router of its settings and takes its addresses; nothing runs before Start.
+// New builds a router from its settings and binds its listening addresses. Services run only after Start.
 func New(s *settings.Settings, logger log.Logger) (r *Router, err error) {
 	defer annotate.Error(&err, "build router %s", s.VM().Name())
 	r = &Router{settings: s, logger: log.With(logger, "vm", s.VM().Name())}
 	for _, build := range []func() error{
-		r.buildBase, r.buildState, r.buildConfiguration, r.buildPeers, r.buildOrders, r.buildFront, r.buildOperators,
+		r.buildTelemetry, r.buildState, r.buildConfiguration, r.buildPeers, r.buildOrders, r.buildFront, r.buildOperators,
 	} {
 		err = build()
 		if err != nil {
@@ -86,32 +86,33 @@
 	return r, nil
 }
 
-func (r *Router) buildBase() (err error) {
+func (r *Router) buildTelemetry() (err error) {
 	s := r.settings
 	set := metrics.NewSet()
 	r.kernel.Register(nameMetrics, set)
 	r.kernel.Register(nameMeter, meter.New(set))
-	t, err := tracing.New(context.Background(), s.VM().Name(), s.Traces().OTLP(), s.Traces().File())
+	traces, err := tracing.New(context.Background(), s.VM().Name(), s.Traces().OTLP(), s.Traces().File())
 	if err != nil {
 		return err
 	}
-	r.kernel.Register(nameTracing, t)
+	r.kernel.Register(nameTracing, traces)
 	return nil
 }
 
-// epoch is what incarnations count seconds from; being recent keeps them short in every heartbeat.
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// incarnationEpoch is the time from which incarnation numbers count seconds. A recent epoch keeps the numbers, which are
+// part of every heartbeat, short.
+var incarnationEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// suspicionPeriods is for how many half periods a silent member is suspected before it counts as dead: long enough
-// for it to be heard once more, and short enough that a dead one is known within three periods.
-const suspicionPeriods = 3
+// suspicionHalfPeriods is the number of half heartbeat periods for which a silent member is suspected before it counts as
+// dead: long enough to hear from it once more, and short enough to detect a dead member within three periods.
+const suspicionHalfPeriods = 3
 
 func (r *Router) buildState() (err error) {
 	v := r.settings.VM()
 	self := membership.Rumour{
-		Name: v.Name(), FailureDomain: v.FailureDomain(), Incarnation: uint64(time.Since(epoch) / time.Second),
+		Name: v.Name(), FailureDomain: v.FailureDomain(), Incarnation: uint64(time.Since(incarnationEpoch) / time.Second),
 	}
-	r.kernel.Register(nameMembers, membership.New(self, suspicionPeriods*r.settings.Peers().Period()/2))
+	r.kernel.Register(nameMembers, membership.New(self, suspicionHalfPeriods*r.settings.Peers().Period()/2))
 	r.kernel.Register(nameHealth, &health.Table{})
 	r.kernel.Register(nameLedger, &ledger.Ledger{})
 	r.kernel.Register(nameProbe, probe.New(r.health(), r.ledger(), r.meter(), r.settings.Routing().ProbePeriod(),
@@ -136,14 +137,14 @@
 	return nil
 }
 
-// platformClient marks requests with the name of the VM, for the platform's own records.
+// platformClient returns a client whose requests carry the name of this VM, for the platform's own records.
 func (r *Router) platformClient(k meter.Kind) (c *http.Client, err error) {
 	t := r.meter().Transport(k)
 	t.TLSClientConfig, err = clientTLS(r.settings.Platform().Authority())
 	if err != nil {
 		return nil, err
 	}
-	return &http.Client{Transport: named{vm: r.settings.VM().Name(), next: t}}, nil
+	return &http.Client{Transport: vmHeaderTransport{vm: r.settings.VM().Name(), next: t}}, nil
 }
 
 func (r *Router) buildPeers() (err error) {
@@ -155,41 +156,42 @@
 			return err
 		}
 	}
-	a, err := peer.New(s.Peers().Address(), peer.Parts{
+	agent, err := peer.New(s.Peers().Address(), peer.Parts{
 		Members: r.members(), Ledger: r.ledger(), Health: r.health(), Configuration: r.follower(), Prober: r.probe(),
 		Claims: r.claims(), Spills: r.spills(), Meter: r.meter(), Logger: r.logger, TLS: cfg, Period: s.Peers().Period(), Budget: s.Peers().Budget(),
 	})
 	if err != nil {
 		return err
 	}
-	r.members().ListensOn(a.Address())
-	r.follower().Use(a)
-	r.claims().Use(r.members(), a)
-	r.probe().Use(r.members(), gossip{a})
-	r.kernel.Register(namePeers, a)
+	r.members().ListensOn(agent.Address())
+	r.follower().Use(agent)
+	r.claims().Use(r.members(), agent)
+	r.probe().Use(r.members(), gossip{agent})
+	r.kernel.Register(namePeers, agent)
 	client, err := r.platformClient(meter.KindVMList)
 	if err != nil {
 		return err
 	}
-	r.kernel.Register(nameWatch, &watch{
+	r.kernel.Register(nameVMWatcher, &vmWatcher{
 		list: vmlist.New(s.Platform().VMList(), client), members: r.members(), probe: r.probe(),
 		period: s.Platform().VMPeriod(), logger: r.logger,
 	})
-	r.kernel.Register(nameSnapshots, &snapshots{
+	r.kernel.Register(nameSnapshots, &snapshotWriter{
 		follower: r.follower(), members: r.members(), retention: s.Platform().Retention(), logger: r.logger,
 	})
 	return nil
 }
 
-// buildOrders leaves orders out when no weight store is set: the engines then load by themselves.
+// buildOrders registers the services that order engines to load models. Without a weight store there are none: engines
+// then load models by themselves.
 func (r *Router) buildOrders() (err error) {
 	s := r.settings
 	if s.Platform().WeightStore() == "" {
 		return nil
 	}
-	mine := func(duty string) bool { return r.members().Mine(duty, 1) }
+	ownsDuty := func(duty string) bool { return r.members().Mine(duty, 1) }
 	l := leases.New(r.kernel.Find(nameLog).(*platformlog.Log), s.VM().Name(),
-		lease.Terms{Term: s.Orders().Term(), Longest: s.Orders().Longest()}, mine, r.logger)
+		lease.Terms{Term: s.Orders().Term(), Longest: s.Orders().Longest()}, ownsDuty, r.logger)
 	r.kernel.Register(nameLeases, l)
 	client := &http.Client{Transport: r.meter().Transport(meter.KindOrders), Timeout: s.Orders().Longest()}
 	r.kernel.Register(nameOrders, orders.New(l, r.follower(), r.health(), client, s.Orders().Period(),
@@ -197,7 +199,7 @@
 	return nil
 }
 
-// gossip lets the probes pass on what they find.
+// gossip spreads findings and marks of the endpoint probes to the peers.
 type gossip struct{ agent *peer.Agent }
 
 func (g gossip) Finding(name string, down bool) {
@@ -215,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	gate := admission.NewGate(s.Limits().Queue(), r.capacity)
+	gate := admission.NewGate(s.Limits().Queue(), r.poolLimit)
 	r.kernel.Register(nameAdmission, gate)
 	r.kernel.Register(nameEndpoints, endpoint.New(r.probe()))
 	f := caller.New(caller.Parts{
@@ -240,22 +242,24 @@
 	return nil
 }
 
-// capacity is this router's part of what a pool may hold; the balancer spreads callers evenly.
-func (r *Router) capacity(pool string) int {
-	whole := r.ledger().Capacity(pool, r.settings.Limits().Concurrency())
-	return max(whole/r.members().Count(), 1)
+// poolLimit returns this router's part of the concurrent requests that a pool may have. All routers have the same part,
+// because the load balancer distributes callers evenly.
+func (r *Router) poolLimit(pool string) int {
+	total := r.ledger().Capacity(pool, r.settings.Limits().Concurrency())
+	return max(total/r.members().Count(), 1)
 }
 
-// operatorHeader bounds headers of operators' requests, and operatorStop the wait for these at a stop: operators are stopped
-// first, and one that does not end its header must not take the time that callers have to get their answers.
+// operatorHeaderTimeout bounds reading the header of an operator's request. operatorStopTimeout bounds stopping the
+// operators' server: it stops before the callers' server, and an operator that doesn't complete its header must not use up
+// the time for the responses to callers.
 const (
-	operatorHeader = 10 * time.Second
-	operatorStop   = 2 * time.Second
+	operatorHeaderTimeout = 10 * time.Second
+	operatorStopTimeout   = 2 * time.Second
 )
 
 func (r *Router) buildOperators() (err error) {
 	s := r.settings
-	d := operator.New(operator.Parts{
+	api := operator.New(operator.Parts{
 		VM: s.VM().Name(), FailureDomain: s.VM().FailureDomain(), Configuration: r.follower(), Members: r.members(),
 		Ledger: r.ledger(), Health: r.health(), Decisions: r.front().Decisions, Meter: r.meter(),
 		Metrics: r.metrics(), Waiting: r.gate().Waiting, Claims: r.claims().Len, Draining: r.front().Draining,
@@ -264,8 +268,8 @@
 	if err != nil {
 		return err
 	}
-	server, err := httpserver.New(s.Operators().Address(), d.Handler(), httpserver.Options{
-		HeaderTimeout: operatorHeader, TLS: cfg, StopWithin: operatorStop,
+	server, err := httpserver.New(s.Operators().Address(), api.Handler(), httpserver.Options{
+		HeaderTimeout: operatorHeaderTimeout, TLS: cfg, StopWithin: operatorStopTimeout,
 	})
 	if err != nil {
 		return err
@@ -283,7 +287,8 @@
 	return err
 }
 
-// Stop drains: the readiness check fails at once, the peers are told, requests in flight end, then the rest stops.
+// Stop drains the router: the readiness check fails at once, peers are notified, requests in flight finish, then all
+// services stop.
 func (r *Router) Stop(ctx context.Context) (err error) {
 	_ = r.logger.Log("event", "draining")
 	r.front().Drain()
@@ -297,7 +302,7 @@
 	return err
 }
 
-// Kill ends the router without a word to anybody, as the loss of its VM would.
+// Kill stops the router abruptly, without draining or notifying peers, to simulate the loss of its VM.
 func (r *Router) Kill() {
 	r.callers().Kill()
 	r.operatorsServer().Kill()
@@ -307,32 +312,32 @@
 	for _, s := range []kernel.Service{r.follower(), r.claims(), r.probe(), r.endpoints()} {
 		_ = s.Stop(ctx)
 	}
-	for _, name := range []string{nameWatch, nameSnapshots, nameOrders, nameLeases} {
+	for _, name := range []string{nameVMWatcher, nameSnapshots, nameOrders, nameLeases} {
 		if s, ok := r.kernel.Lookup(name).(kernel.Service); ok {
 			_ = s.Stop(ctx)
 		}
 	}
 }
 
-// Callers is the address for callers.
+// Callers returns the address that serves callers.
 func (r *Router) Callers() string { return r.callers().Address() }
 
-// Operators is the address for operators.
+// Operators returns the address that serves operators.
 func (r *Router) Operators() string { return r.operatorsServer().Address() }
 
-// Peers is the address for peers.
+// Peers returns the address that serves peers.
 func (r *Router) Peers() string { return r.agent().Address() }
 
-// Agent speaks with the peers.
+// Agent returns the agent that communicates with the peers.
 func (r *Router) Agent() *peer.Agent { return r.agent() }
 
-// Ready tells whether the router has a configuration.
+// Ready reports whether the router has a configuration.
 func (r *Router) Ready() bool { return r.follower().Ready() }
 
-// Meter counts this router's control traffic.
+// Meter returns the counters of this router's control traffic.
 func (r *Router) Meter() *meter.Meter { return r.meter() }
 
-// Attempts is how many attempts at endpoints this router has made.
+// Attempts returns the number of attempts at endpoints that this router has made.
 func (r *Router) Attempts() uint64 {
 	return r.metrics().GetOrCreateCounter(caller.AttemptsMetric).Get()
 }
--- a/io/router/find.go
+++ b/io/router/services.go
@@ -19,7 +19,7 @@
 	"savoryfall/io/tracing"
 )
 
-// What follows finds a service by its name and says what it is.
+// The methods below look up a registered service by name and assert its type.
 
 func (r *Router) metrics() *metrics.Set     { return r.kernel.Find(nameMetrics).(*metrics.Set) }
 func (r *Router) meter() *meter.Meter       { return r.kernel.Find(nameMeter).(*meter.Meter) }
--- a/io/router/snapshots.go
+++ b/io/router/snapshots.go
@@ -11,8 +11,9 @@
 	"savoryfall/io/configuration"
 )
 
-// snapshots appends the configuration to its own stream before the notes that made it expire.
-type snapshots struct {
+// snapshotWriter appends a snapshot of the configuration to the configuration stream before the release notes that it
+// resulted from expire.
+type snapshotWriter struct {
 	follower  *configuration.Follower
 	members   *membership.Table
 	retention time.Duration
@@ -22,27 +23,27 @@
 }
 
 const (
-	snapshotDuty    = "snapshot"
-	checksPerPeriod = 64
-	maxCheck        = time.Minute
-	snapshotTimeout = 30 * time.Second
+	snapshotDuty       = "snapshot"
+	checksPerRetention = 64
+	maxCheckInterval   = time.Minute
+	snapshotTimeout    = 30 * time.Second
 )
 
-func (s *snapshots) Start(context.Context) error {
+func (s *snapshotWriter) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	period := min(s.retention/checksPerPeriod, maxCheck)
-	s.running.Go(func() { background.Every(ctx, period, func(now time.Time) { s.check(ctx, now) }) })
+	period := min(s.retention/checksPerRetention, maxCheckInterval)
+	s.running.Go(func() { background.Every(ctx, period, func(now time.Time) { s.writeIfDue(ctx, now) }) })
 	return nil
 }
 
-func (s *snapshots) Stop(context.Context) error {
+func (s *snapshotWriter) Stop(context.Context) error {
 	s.cancel()
 	s.running.Stop()
 	return nil
 }
 
-func (s *snapshots) check(ctx context.Context, now time.Time) {
+func (s *snapshotWriter) writeIfDue(ctx context.Context, now time.Time) {
 	if !s.follower.SnapshotDue(now, s.retention) || !s.members.Mine(snapshotDuty, 1) {
 		return
 	}
--- a/io/router/watch.go
+++ b/io/router/vmwatcher.go
@@ -12,39 +12,39 @@
 	"savoryfall/io/vmlist"
 )
 
-// watch reads the VM list, for members and for leaving marks of endpoints.
-type watch struct {
+// vmWatcher polls the VM list for routers and for endpoints that are marked as leaving.
+type vmWatcher struct {
 	list    *vmlist.List
 	members *membership.Table
 	probe   *probe.Keeper
 	period  time.Duration
 	logger  log.Logger
-	tag     string
+	etag    string
 	cancel  context.CancelFunc
 	running background.Group
 }
 
-const listTimeout = 5 * time.Second
+const vmListTimeout = 5 * time.Second
 
-func (w *watch) Start(ctx context.Context) error {
-	w.read(ctx)
+func (w *vmWatcher) Start(ctx context.Context) error {
+	w.poll(ctx)
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
-	w.running.Go(func() { background.Every(ctx, w.period, func(time.Time) { w.read(ctx) }) })
+	w.running.Go(func() { background.Every(ctx, w.period, func(time.Time) { w.poll(ctx) }) })
 	return nil
 }
 
-func (w *watch) Stop(context.Context) error {
+func (w *vmWatcher) Stop(context.Context) error {
 	w.cancel()
 	w.running.Stop()
 	return nil
 }
 
-// read goes on with the list that is known when the platform does not answer.
-func (w *watch) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+// poll reads the VM list. If the platform doesn't answer, the last known list stays in use.
+func (w *vmWatcher) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
-	vms, tag, changed, err := w.list.Read(ctx, w.tag)
+	vms, etag, changed, err := w.list.Read(ctx, w.etag)
 	if err != nil {
 		_ = w.logger.Log("event", "vmListUnread", "err", err)
 		return
@@ -52,11 +52,11 @@
 	if !changed {
 		return
 	}
-	w.tag = tag
-	w.take(vms)
+	w.etag = etag
+	w.update(vms)
 }
 
-func (w *watch) take(vms []vmlist.VM) {
+func (w *vmWatcher) update(vms []vmlist.VM) {
 	var routers []membership.Rumour
 	for _, vm := range vms {
 		if vm.Role == vmlist.RoleEndpoint {
