--- a/io/operator/desk.go
+++ b/io/operator/api.go
@@ -16,15 +16,15 @@
 	"savoryfall/io/meter"
 )
 
-// Configuration is what is in force, and how it came.
+// Configuration provides the active configuration, and when and from where it was applied.
 type Configuration interface {
 	Current() *inforce.Configuration
 	Ready() bool
 	AppliedAt() (at time.Time, source string)
 }
 
-// Parts are what an operator may look at.
-type Parts struct {
+// Dependencies are the sources of the data that the API serves.
+type Dependencies struct {
 	VM            string
 	FailureDomain string
 	Configuration Configuration
@@ -39,16 +39,16 @@
 	Draining      func() bool
 }
 
-// Desk answers operators.
-type Desk struct {
-	Parts
+// API handles operators' requests.
+type API struct {
+	Dependencies
 }
 
-// New makes a desk of its parts.
-func New(p Parts) *Desk { return &Desk{Parts: p} }
+// New returns an API with the given dependencies.
+func New(p Dependencies) *API { return &API{Dependencies: p} }
 
-// Handler serves the operators' address.
-func (d *Desk) Handler() http.Handler {
+// Handler returns the handler of all routes of the API.
+func (d *API) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/status", d.status).Methods(http.MethodGet)
 	m.HandleFunc("/explain/{request}", d.explain).Methods(http.MethodGet)
@@ -58,7 +58,7 @@
 	return m
 }
 
-// Status is what one router believes.
+// Status is the state of one router, as it knows it.
 type Status struct {
 	VM            string            `json:"vm"`
 	FailureDomain string            `json:"failureDomain"`
@@ -72,7 +72,7 @@
 	ControlBytes  map[string]uint64 `json:"controlBytes"`
 }
 
-// Release is which configuration is in force in one router.
+// Release identifies the active configuration of one router.
 type Release struct {
 	Next      int64     `json:"next"`
 	Note      string    `json:"note"`
@@ -81,7 +81,7 @@
 	Source    string    `json:"source"`
 }
 
-// Endpoint is what one router believes of an endpoint.
+// Endpoint is the state of an endpoint, as one router knows it.
 type Endpoint struct {
 	ledger.State
 	Health      health.State `json:"health"`
@@ -89,15 +89,15 @@
 	Address     string       `json:"address"`
 }
 
-func (d *Desk) status(w http.ResponseWriter, _ *http.Request) {
+func (d *API) status(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, d.Status())
 }
 
-// Status collects what this router believes now.
-func (d *Desk) Status() (s Status) {
+// Status returns the current state of this router.
+func (d *API) Status() (s Status) {
 	s = Status{
 		VM: d.VM, FailureDomain: d.FailureDomain, Ready: d.Configuration.Ready(), Draining: d.Draining(),
-		Release: d.inForce(), Members: d.Members.Peers(), Waiting: d.Waiting(), Claims: d.Claims(),
+		Release: d.activeRelease(), Members: d.Members.Peers(), Waiting: d.Waiting(), Claims: d.Claims(),
 		ControlBytes: map[string]uint64{},
 	}
 	for _, k := range meter.Kinds {
@@ -116,23 +116,23 @@
 	return s
 }
 
-func (d *Desk) inForce() (r Release) {
+func (d *API) activeRelease() (r Release) {
 	c := d.Configuration.Current()
 	r = Release{Next: c.Next(), Note: c.Current(), Digest: c.Digest()}
 	r.AppliedAt, r.Source = d.Configuration.AppliedAt()
 	return r
 }
 
-func (d *Desk) explain(w http.ResponseWriter, r *http.Request) {
+func (d *API) explain(w http.ResponseWriter, r *http.Request) {
 	found, ok := d.Decisions.Find(mux.Vars(r)["request"])
 	if !ok {
-		http.Error(w, "this router has no decision on that request", http.StatusNotFound)
+		http.Error(w, "this router has no decision for this request", http.StatusNotFound)
 		return
 	}
 	writeJSON(w, found)
 }
 
-func (d *Desk) release(w http.ResponseWriter, _ *http.Request) {
+func (d *API) release(w http.ResponseWriter, _ *http.Request) {
 	data, err := d.Configuration.Current().Snapshot()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -142,18 +142,18 @@
 	_, _ = w.Write(data)
 }
 
-// Verdict is what became of a published note.
-type Verdict struct {
+// NoteStatus reports whether a published note is known, and why it was refused if it was.
+type NoteStatus struct {
 	Known   bool   `json:"known"`
 	Refusal string `json:"refusal,omitempty"`
 }
 
-func (d *Desk) note(w http.ResponseWriter, r *http.Request) {
+func (d *API) note(w http.ResponseWriter, r *http.Request) {
 	refusal, known := d.Configuration.Current().Refusal(mux.Vars(r)["note"])
-	writeJSON(w, Verdict{Known: known, Refusal: refusal})
+	writeJSON(w, NoteStatus{Known: known, Refusal: refusal})
 }
 
-func (d *Desk) metrics(w http.ResponseWriter, _ *http.Request) {
+func (d *API) metrics(w http.ResponseWriter, _ *http.Request) {
 	d.Metrics.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
--- a/io/operator/doc.go
+++ b/io/operator/doc.go
@@ -1,2 +1,2 @@
-// Package operator serves operators: status, explanations, the configuration in force and metrics.
+// Package operator serves the operators' HTTP API: status, routing decisions, the active configuration and metrics.
 package operator
--- a/io/router/router.go
+++ b/io/router/router.go
@@ -259,7 +259,7 @@
 
 func (r *Router) buildOperators() (err error) {
 	s := r.settings
-	api := operator.New(operator.Parts{
+	api := operator.New(operator.Dependencies{
 		VM: s.VM().Name(), FailureDomain: s.VM().FailureDomain(), Configuration: r.follower(), Members: r.members(),
 		Ledger: r.ledger(), Health: r.health(), Decisions: r.front().Decisions, Meter: r.meter(),
 		Metrics: r.metrics(), Waiting: r.gate().Waiting, Claims: r.claims().Len, Draining: r.front().Draining,
