--- a/soak/variants_test.go
+++ b/soak/variants_test.go
@@ -27,7 +27,7 @@
 		"platform/front/front.go", "return http.StatusBadGateway", "return http.StatusServiceUnavailable",
 	},
 	"leavingIsIgnored": {
-		"core/directory/directory.go", "if !r.gone && !r.entry.Leaving {", "if !r.gone {",
+		"core/directory/directory.go", "if !r.removed && !r.entry.Leaving {", "if !r.removed {",
 	},
 	"stopCutsRequests": {
 		"io/clientconn/set.go", "return len(s.all())", "return 0",
