--- a/io/fleet/answers_test.go
+++ b/io/fleet/answers_test.go
@@ -21,42 +21,42 @@
 	"savoryfall/io/standin/plainservice"
 )
 
-func fleetOf(t *testing.T, engines, services int, limits string) *fleet.Fleet {
+func startFleetWithLimits(t *testing.T, engines, services int, limits string) *fleet.Fleet {
 	t.Helper()
 	return start(t, fleet.Options{Routers: 1, Engines: engines, Services: services, Extra: map[string]string{
-		"peers": quick, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n", "limits": limits,
+		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n", "limits": limits,
 	}})
 }
 
-func eventually(t *testing.T, what string, true func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if true() {
+		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("not yet: %s", what)
+		return poll.Continue("not yet: %s", description)
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func switchAll(f *fleet.Fleet, faults engine.Faults) {
+func setAllFaults(f *fleet.Fleet, faults engine.Faults) {
 	for _, e := range f.Engines() {
 		e.Set(faults)
 	}
 }
 
-// stream asks for a streamed completion and returns all lines of its body.
-func stream(ctx context.Context, f *fleet.Fleet, text string) (lines []string, err error) {
+// streamLines requests a streamed completion and returns all lines of its body.
+func streamLines(ctx context.Context, f *fleet.Fleet, text string) (lines []string, err error) {
 	resp, err := post(ctx, f, "/v1/chat/completions", fmt.Sprintf(
 		`{"model":"sur-large","stream":true,"messages":[{"role":"user","content":%q}]}`, text))
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	in := bufio.NewScanner(resp.Body)
-	for in.Scan() {
-		lines = append(lines, in.Text())
+	scanner := bufio.NewScanner(resp.Body)
+	for scanner.Scan() {
+		lines = append(lines, scanner.Text())
 	}
-	return lines, in.Err()
+	return lines, scanner.Err()
 }
 
 func post(ctx context.Context, f *fleet.Fleet, path, body string) (resp *http.Response, err error) {
@@ -68,15 +68,15 @@
 	return http.DefaultClient.Do(r)
 }
 
-// complete asks by the OpenAI client and returns the text.
+// complete requests a streamed completion with the OpenAI client and returns its text.
 func complete(t *testing.T, f *fleet.Fleet, text string) string {
 	t.Helper()
-	got, err := completed(t.Context(), f, text)
+	got, err := completeContext(t.Context(), f, text)
 	assert.NilError(t, err)
 	return got
 }
 
-func completed(ctx context.Context, f *fleet.Fleet, text string) (got string, err error) {
+func completeContext(ctx context.Context, f *fleet.Fleet, text string) (got string, err error) {
 	c := client(f, 0)
 	s := c.Chat.Completions.NewStreaming(ctx, params(text))
 	id := ""
@@ -85,7 +85,7 @@
 			id = s.Current().ID
 		}
 		if s.Current().ID != id {
-			return got, fmt.Errorf("the id changes from %s to %s", id, s.Current().ID)
+			return got, fmt.Errorf("completion ID changed from %s to %s", id, s.Current().ID)
 		}
 		for _, choice := range s.Current().Choices {
 			got += choice.Delta.Content
@@ -98,22 +98,22 @@
 	return engine.Answer(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text))
 }
 
-// The caller sees its own whole answer. The engine's first answer carries the id of somebody else's attempt, as when
-// answers cross on a connection; it is dropped, its connection is closed, and another engine is asked.
-func TestCrossedAnswerIsDropped(t *testing.T) {
-	f := fleetOf(t, 3, 0, "")
+// The engine's first response carries the attempt ID of another request, as when responses on a connection get mixed up.
+// The router drops it, closes the connection and retries at another engine; the client gets its own complete response.
+func TestMismatchedResponseIsDropped(t *testing.T) {
+	f := startFleetWithLimits(t, 3, 0, "")
 	f.Engine("engine-01").Set(engine.Faults{CrossNext: 1})
 	f.Engine("engine-02").Set(engine.Faults{CrossNext: 1})
 	for i := range 6 {
-		text := fmt.Sprintf("crossed %d #20", i)
+		text := fmt.Sprintf("mismatched %d #20", i)
 		assert.Equal(t, complete(t, f, text), want(text))
 	}
 }
 
-// The caller sees its own whole answer, and so does the next one. The engine is slower than the timeout; its late
-// answer comes while the next request is under way, and must not be taken for that one's.
-func TestLateAnswerIsDropped(t *testing.T) {
-	f := fleetOf(t, 2, 0, "firstToken = \"100ms\"\n")
+// One engine responds only after the first-token timeout, while the next request is already in flight. The late response
+// must not be delivered to that request; every client gets its own complete response.
+func TestLateResponseIsDropped(t *testing.T) {
+	f := startFleetWithLimits(t, 2, 0, "firstToken = \"100ms\"\n")
 	for name, e := range f.Engines() {
 		if name == "engine-01" {
 			e.Set(engine.Faults{LateMs: 300})
@@ -125,21 +125,21 @@
 	}
 }
 
-// The caller sees one stream without a gap, under one id. The engine dies after a few tokens; another is asked to go
-// on after the text that the caller has already.
-func TestStreamSurvivesItsEngine(t *testing.T) {
+// An engine fails before or during a stream. Another engine continues after the text that the client already has; the
+// client gets one stream without a gap, under one completion ID.
+func TestStreamContinuesAfterEngineFailure(t *testing.T) {
 	for _, fault := range []struct {
 		name   string
 		faults engine.Faults
 	}{
 		{"dies", engine.Faults{DieNext: 1, DieAfterTokens: 7}},
 		{"dies at the first token", engine.Faults{DieNext: 1, DieAfterTokens: 1}},
-		{"ends without its mark", engine.Faults{TruncateNext: 1, DieAfterTokens: 7}},
+		{"ends without [DONE]", engine.Faults{TruncateNext: 1, DieAfterTokens: 7}},
 		{"drops the request", engine.Faults{DropNext: 1}},
 		{"fails", engine.Faults{FailNext: 1}},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
-			f := fleetOf(t, 4, 0, "")
+			f := startFleetWithLimits(t, 4, 0, "")
 			f.Engine("engine-01").Set(fault.faults)
 			f.Engine("engine-02").Set(fault.faults)
 			for i := range 6 {
@@ -150,21 +150,21 @@
 	}
 }
 
-// The caller sees an error event and no end mark, so that it cannot take the part for the whole. Every engine dies in
-// the middle of the stream.
-func TestStreamThatCannotBeSavedEndsInAnError(t *testing.T) {
-	f := fleetOf(t, 2, 0, "")
-	switchAll(f, engine.Faults{DieNext: 9, DieAfterTokens: 3})
-	lines, err := stream(t.Context(), f, "doomed #40")
+// Every engine dies in the middle of the stream. The client gets an error event and no [DONE] event, so that it cannot
+// mistake the partial response for a complete one.
+func TestUnrecoverableStreamEndsInError(t *testing.T) {
+	f := startFleetWithLimits(t, 2, 0, "")
+	setAllFaults(f, engine.Faults{DieNext: 9, DieAfterTokens: 3})
+	lines, err := streamLines(t.Context(), f, "doomed #40")
 	assert.NilError(t, err)
-	whole := strings.Join(lines, "\n")
-	assert.Assert(t, strings.Contains(whole, `"outcome":"unknown"`), whole)
-	assert.Assert(t, !strings.Contains(whole, "[DONE]"), whole)
+	body := strings.Join(lines, "\n")
+	assert.Assert(t, strings.Contains(body, `"outcome":"unknown"`), body)
+	assert.Assert(t, !strings.Contains(body, "[DONE]"), body)
 }
 
-// The caller hangs up in the middle of a stream. The engine's work on it ends, and nothing is left on the books.
-func TestHangingUpCancelsTheEngine(t *testing.T) {
-	f := fleetOf(t, 1, 0, "")
+// The client disconnects in the middle of a stream. The router cancels the request at the engine, which becomes idle.
+func TestClientDisconnectCancelsEngineWork(t *testing.T) {
+	f := startFleetWithLimits(t, 1, 0, "")
 	ctx, hangUp := context.WithCancel(t.Context())
 	resp, err := post(ctx, f, "/v1/chat/completions",
 		`{"model":"sur-large","stream":true,"messages":[{"role":"user","content":"endless #20000"}]}`)
@@ -173,47 +173,47 @@
 	_, err = io.ReadFull(resp.Body, make([]byte, 64))
 	assert.NilError(t, err)
 	hangUp()
-	eventually(t, "the engine is idle", func() bool { return f.Engine("engine-01").Truth().Requests == 0 })
+	waitFor(t, "the engine is idle", func() bool { return f.Engine("engine-01").Truth().Requests == 0 })
 }
 
-// The caller of a plain service is told what is true: notRun for a refusal everywhere, unknown when the service had
-// the call and broke off, and never half an answer as if it were whole.
-func TestPlainServiceFailuresAreToldTruly(t *testing.T) {
-	for _, given := range []struct {
-		name   string
-		faults plainservice.Faults
-		told   string
+// The outcome header reports notRun when every process of a plain service refused the call, and unknown when a process
+// received the call and its connection broke or its response was for another call. The call runs at most once.
+func TestPlainServiceFailureOutcomes(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		faults  plainservice.Faults
+		outcome string
 	}{
 		{"refuses", plainservice.Faults{Refuse: true}, "notRun"},
-		{"breaks off before", plainservice.Faults{DropBefore: 9}, "unknown"},
-		{"breaks off after", plainservice.Faults{DropAfter: 9}, "unknown"},
-		{"crosses", plainservice.Faults{CrossNext: 9}, "unknown"},
+		{"drops before running", plainservice.Faults{DropBefore: 9}, "unknown"},
+		{"drops after running", plainservice.Faults{DropAfter: 9}, "unknown"},
+		{"mismatched response", plainservice.Faults{CrossNext: 9}, "unknown"},
 	} {
-		t.Run(given.name, func(t *testing.T) {
-			f := fleetOf(t, 0, 2, "")
+		t.Run(tc.name, func(t *testing.T) {
+			f := startFleetWithLimits(t, 0, 2, "")
 			for _, s := range f.Services() {
-				s.Set(given.faults)
+				s.Set(tc.faults)
 			}
-			resp, err := post(t.Context(), f, fleet.NotRepeatable, "permit")
+			resp, err := post(t.Context(), f, fleet.NonIdempotentPath, "permit")
 			assert.NilError(t, err)
 			defer resp.Body.Close()
 			body, err := io.ReadAll(resp.Body)
 			assert.NilError(t, err)
-			assert.Equal(t, resp.Header.Get(header.Outcome), given.told, "%s", body)
+			assert.Equal(t, resp.Header.Get(header.Outcome), tc.outcome, "%s", body)
 			ran := 0
 			for _, s := range f.Services() {
 				ran += s.Ran()[""]
 			}
-			assert.Assert(t, ran <= 1, "ran %d times", ran)
-			assert.Assert(t, given.told != "notRun" || ran == 0)
+			assert.Assert(t, ran <= 1, "executed %d times", ran)
+			assert.Assert(t, tc.outcome != "notRun" || ran == 0)
 		})
 	}
 }
 
-// The caller sees its connection break, not a short answer that looks whole: with a length that is not kept, and with
-// none, where only the end of the chunks tells.
-func TestBrokenAnswerIsCut(t *testing.T) {
-	f := fleetOf(t, 0, 1, "")
+// The service sends fewer bytes than its Content-Length, or ends a chunked response without the last chunk. The client
+// sees its connection break instead of a short response that looks complete.
+func TestTruncatedResponseBreaksConnection(t *testing.T) {
+	f := startFleetWithLimits(t, 0, 1, "")
 	for _, faults := range []plainservice.Faults{{ShortAnswer: 1}, {DropMiddle: 1}} {
 		f.Service("service-01").Set(faults)
 		resp, err := post(t.Context(), f, "/permits/list", "x")
@@ -225,15 +225,15 @@
 	}
 }
 
-// Five of six processes of a plain service are gone before anybody has noticed. A call meets several of them in a row,
-// none of which had it, and is answered by the one that is left although it may be tried at one only; a call that may
-// not be repeated as well, and runs once.
-func TestDeadServicesCostACallNothing(t *testing.T) {
-	f := fleetOf(t, 0, 6, "attempts = 1\n")
+// Five of six processes of a plain service die and the router has not detected it yet. A refused connection does not count
+// as an attempt, since the process never received the call: with attempts = 1 the call still reaches the process that is
+// left. A non-idempotent call does so too, and runs once.
+func TestCallSkipsUnreachableServices(t *testing.T) {
+	f := startFleetWithLimits(t, 0, 6, "attempts = 1\n")
 	for i := range 5 {
 		f.KillService(fmt.Sprintf("service-%02d", i+1))
 	}
-	for _, path := range []string{"/permits/list", fleet.NotRepeatable} {
+	for _, path := range []string{"/permits/list", fleet.NonIdempotentPath} {
 		resp, err := post(t.Context(), f, path, "x")
 		assert.NilError(t, err)
 		assert.NilError(t, resp.Body.Close())
--- a/io/fleet/configuration_test.go
+++ b/io/fleet/configuration_test.go
@@ -37,19 +37,19 @@
 	return true
 }
 
-func modelNote(id, basedOn, model string) string {
+func addModelNote(id, basedOn, model string) string {
 	return fmt.Sprintf("id = %q\nbasedOn = %q\n[[added.models]]\nname = %q\n", id, basedOn, model)
 }
 
-// The log is slow for one router only; it has the note in force all the same, by way of its peers.
-func TestPeersOvertakeASlowLog(t *testing.T) {
+// The log is slow for one router only, which still applies the note in time because its peers send it.
+func TestPeersDeliverNotesWhenLogIsSlow(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	f.Log.Set(logservice.Faults{SlowMs: 60_000, SlowReaders: []string{"entry-2"}})
-	// The read that waits at the log already is answered at once; only the one after it is slow.
-	f.Publish(t.Context(), modelNote("second", "first", "sur-small"))
-	eventually(t, "second is in force everywhere", func() bool { return inForce(t, f, "second") })
-	f.Publish(t.Context(), modelNote("third", "second", "sur-tiny"))
-	eventually(t, "third is in force everywhere", func() bool { return inForce(t, f, "third") })
+	// The long poll that is already pending returns at once; only the reads after it are slow.
+	f.Publish(t.Context(), addModelNote("second", "first", "sur-small"))
+	waitFor(t, "second is in force everywhere", func() bool { return inForce(t, f, "second") })
+	f.Publish(t.Context(), addModelNote("third", "second", "sur-tiny"))
+	waitFor(t, "third is in force everywhere", func() bool { return inForce(t, f, "third") })
 	assert.Equal(t, status(t, f.Routers()[1]).Release.Source, "peer")
 	digests := map[string]bool{}
 	for _, r := range f.Routers() {
@@ -58,58 +58,58 @@
 	assert.Equal(t, len(digests), 1)
 }
 
-// Two operators publish conflicting notes in the same instant, on every router one and the same of them is in force.
-func TestRacingOperators(t *testing.T) {
+// Two operators publish conflicting notes at the same time. The same one of them comes into force on every router.
+func TestConflictingNotesResolveEquallyOnAllRouters(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	for round := range 5 {
 		base := status(t, f.Routers()[0]).Release.Note
 		model := fmt.Sprint("racing-", round)
 		var both sync.WaitGroup
 		for _, who := range []string{"lenasur", "harrowmere"} {
-			both.Go(func() { f.Publish(t.Context(), modelNote(fmt.Sprint(who, round), base, model)) })
+			both.Go(func() { f.Publish(t.Context(), addModelNote(fmt.Sprint(who, round), base, model)) })
 		}
 		both.Wait()
-		eventually(t, "one of them is in force everywhere", func() bool {
+		waitFor(t, "one of the two notes is in force everywhere", func() bool {
 			return inForce(t, f, fmt.Sprint("lenasur", round)) || inForce(t, f, fmt.Sprint("harrowmere", round))
 		})
 	}
 }
 
-// While the log is down the routers go on with what is in force, and a VM that starts empty gets it from a peer.
-func TestLogDownLeavesTheConfigurationInForce(t *testing.T) {
+// While the log is down, the routers keep serving with the configuration in force, and a new VM fetches it from a peer.
+func TestLogOutageKeepsConfiguration(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 2, Engines: 2})
 	f.Log.Set(logservice.Faults{Down: true})
 	assert.Equal(t, complete(t, f, "served #5"), want("served #5"))
 	r, err := f.AddRouter(t.Context())
 	assert.NilError(t, err)
-	eventually(t, "the new VM has the configuration", r.Ready)
+	waitFor(t, "the new VM has the configuration", r.Ready)
 	assert.Equal(t, status(t, r).Release.Digest, status(t, f.Routers()[0]).Release.Digest)
 	assert.Equal(t, status(t, r).Release.Source, "peer")
 }
 
-// All routers are lost at once and empty VMs take their place. The first notes are trimmed; the snapshot that the
-// fleet wrote, with its tail, brings the configuration back. A key that ran is not run again.
-func TestWholeFleetIsReplaced(t *testing.T) {
+// All routers are lost at once and replaced by new VMs, and the first notes are trimmed from the log. The new routers recover
+// the configuration from the snapshot that the lost ones wrote and the records after it. A key that ran does not run again.
+func TestReplaceAllRouters(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1, Services: 1, Extra: map[string]string{
-		"peers": quick, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
+		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 		"platform": "retention = \"2s\"\nvmListPeriod = \"200ms\"\n",
 	}})
-	assert.Equal(t, issue(t, f, 0, "k", "permit").status, http.StatusOK)
-	before := status(t, f.Routers()[0]).Release
-	eventually(t, "a snapshot is on the log", func() bool { return hasSnapshot(f) })
-	f.Publish(t.Context(), modelNote("second", "first", "sur-small"))
+	assert.Equal(t, callNonIdempotent(t, f, 0, "k", "permit").status, http.StatusOK)
+	releaseBefore := status(t, f.Routers()[0]).Release
+	waitFor(t, "a snapshot is on the log", func() bool { return hasSnapshot(f) })
+	f.Publish(t.Context(), addModelNote("second", "first", "sur-small"))
 	for _, r := range f.Routers() {
 		f.KillRouter(r)
 	}
-	f.Log.Trim(configuration.Stream, before.Next)
+	f.Log.Trim(configuration.Stream, releaseBefore.Next)
 	for range 3 {
 		_, err := f.AddRouter(t.Context())
 		assert.NilError(t, err)
 	}
-	eventually(t, "all are ready", func() bool { return inForce(t, f, "second") })
+	waitFor(t, "the note is in force on the new routers", func() bool { return inForce(t, f, "second") })
 	assert.Equal(t, complete(t, f, "back #5"), want("back #5"))
-	eventually(t, "the key is known", func() bool { return issue(t, f, 1, "k", "permit").status == http.StatusOK })
-	assert.Equal(t, ran(f, "k"), 1)
+	waitFor(t, "the key gets its recorded response", func() bool { return callNonIdempotent(t, f, 1, "k", "permit").status == http.StatusOK })
+	assert.Equal(t, executions(f, "k"), 1)
 }
 
 func hasSnapshot(f *fleet.Fleet) bool {
@@ -121,8 +121,8 @@
 	return false
 }
 
-// With the log down and no peer left, an empty VM serves nothing and says so.
-func TestEmptyVMWithoutLogOrPeersRefuses(t *testing.T) {
+// While the log is down and there is no peer, a new VM is not ready and rejects requests; it recovers when the log is back.
+func TestNewVMWithoutLogOrPeersRejectsRequests(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 1})
 	f.Log.Set(logservice.Faults{Down: true})
 	f.KillRouter(f.Routers()[0])
@@ -132,26 +132,27 @@
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
-	lines, err := stream(t.Context(), f, "nothing #5")
+	lines, err := streamLines(t.Context(), f, "nothing #5")
 	assert.NilError(t, err)
 	assert.Assert(t, len(lines) == 1, "%v", lines)
 	f.Log.Set(logservice.Faults{})
-	eventually(t, "it recovers", r.Ready)
+	waitFor(t, "the router recovers", r.Ready)
 }
 
-const manyNotes = 300
+const burstSize = 300
 
-// Hundreds of notes in a burst are in force on every router in their order, with the log slow for all.
-func TestBurstOfNotes(t *testing.T) {
+// Publishes hundreds of notes, each based on the one before, while the log is slow for all routers. Every router applies them
+// all in order.
+func TestNoteBurstIsAppliedInOrder(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	f.Log.Set(logservice.Faults{SlowMs: 20})
 	began := time.Now()
 	base := "first"
-	for n := range manyNotes {
+	for n := range burstSize {
 		id := fmt.Sprint("note-", n)
-		f.Publish(t.Context(), modelNote(id, base, fmt.Sprint("m", n)))
+		f.Publish(t.Context(), addModelNote(id, base, fmt.Sprint("m", n)))
 		base = id
 	}
-	eventually(t, "the last is in force everywhere", func() bool { return inForce(t, f, base) })
-	t.Logf("%d notes in force on 3 routers after %v", manyNotes, time.Since(began))
+	waitFor(t, "the last note is in force everywhere", func() bool { return inForce(t, f, base) })
+	t.Logf("%d notes in force on 3 routers after %v", burstSize, time.Since(began))
 }
--- a/io/fleet/doc.go
+++ b/io/fleet/doc.go
@@ -1,2 +1,2 @@
-// Package fleet runs a small fleet with its stand-ins in one process, on loopback.
+// Package fleet runs routers, simulated engines and services, and a simulated platform in one process, on loopback.
 package fleet
--- a/io/fleet/fleet.go
+++ b/io/fleet/fleet.go
@@ -26,7 +26,7 @@
 	"savoryfall/io/vmlist"
 )
 
-// Options shape a fleet; a zero field means its default.
+// Options configures a fleet; a field with the zero value uses its default.
 type Options struct {
 	Routers        int
 	Engines        int
@@ -34,29 +34,29 @@
 	Models         []string
 	FailureDomains []string
 	Accounts       []string
-	// Weights are the shares of the accounts, in their order; none means that all are equal.
-	Weights []float64
-	Engine  engine.Options
-	// Extra is TOML added to the settings of each router, by the name of its section.
-	Extra     map[string]string
-	Log       *logservice.Service
-	NoRelease bool
+	// AccountWeights holds the weight of each account, in the order of Accounts; if empty, all are equal.
+	AccountWeights []float64
+	Engine         engine.Options
+	// Extra holds TOML that is appended to a section of each router's settings, by section name.
+	Extra           map[string]string
+	Log             *logservice.Service
+	SkipReleaseNote bool
 }
 
-// Fleet is the platform's stand-ins, endpoints and routers.
+// Fleet holds the simulated platform services and endpoints, and the routers.
 type Fleet struct {
-	opts     Options
-	logger   log.Logger
-	dir      string
-	Log      *logservice.Service
-	VMs      *vmservice.Service
-	Weights  *weightservice.Service
-	mu       sync.Mutex
-	servers  map[string]*httpserver.Server
-	routers  []*router.Router
-	engines  map[string]*runningEngine
-	services map[string]*plainservice.Service
-	started  int
+	opts           Options
+	logger         log.Logger
+	dir            string
+	Log            *logservice.Service
+	VMList         *vmservice.Service
+	WeightStore    *weightservice.Service
+	mu             sync.Mutex
+	servers        map[string]*httpserver.Server
+	routers        []*router.Router
+	engines        map[string]*runningEngine
+	services       map[string]*plainservice.Service
+	routersStarted int
 }
 
 type runningEngine struct {
@@ -65,20 +65,20 @@
 }
 
 const (
-	loopback   = "127.0.0.1:0"
-	defaultKey = "key-of-"
-	ticketKey  = "shared secret of the routers on this machine"
-	// ServicePath is the prefix of the plain service.
+	loopback  = "127.0.0.1:0"
+	keyPrefix = "key-of-"
+	ticketKey = "shared secret of the routers on this machine"
+	// ServicePath is the path prefix that the routers send to the plain service.
 	ServicePath = "/permits/"
-	// NotRepeatable is the path of its call that may run only once.
-	NotRepeatable = "/permits/issue"
-	weightRate    = 100
+	// NonIdempotentPath is the path of the plain service's call that must run at most once per idempotency key.
+	NonIdempotentPath = "/permits/issue"
+	weightStoreRate   = 100
 )
 
-// Key is the bearer key of an account of the fleet.
-func Key(accountName string) string { return defaultKey + accountName }
+// Key returns the bearer key of an account.
+func Key(accountName string) string { return keyPrefix + accountName }
 
-// New makes a fleet that is not started.
+// New returns a fleet that is not started.
 func New(o Options, logger log.Logger) *Fleet {
 	if len(o.Models) == 0 {
 		o.Models = []string{"sur-large"}
@@ -93,20 +93,21 @@
 		o.Log = logservice.New(0, 0)
 	}
 	return &Fleet{
-		opts: o, logger: logger, Log: o.Log, VMs: &vmservice.Service{}, Weights: weightservice.New(weightRate, weightRate),
+		opts: o, logger: logger, Log: o.Log, VMList: &vmservice.Service{}, WeightStore: weightservice.New(weightStoreRate, weightStoreRate),
 		servers: map[string]*httpserver.Server{}, engines: map[string]*runningEngine{},
 		services: map[string]*plainservice.Service{},
 	}
 }
 
-// Start brings up the stand-ins, publishes one release note and starts the routers; it returns when all are ready.
+// Start starts the simulated services and endpoints, publishes the first release note, starts the routers and waits until
+// all of them are ready.
 func (f *Fleet) Start(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "start fleet")
 	f.dir, err = os.MkdirTemp("", "savoryfall")
 	if err != nil {
 		return err
 	}
-	err = os.WriteFile(f.secretFile(), []byte(ticketKey), 0o600)
+	err = os.WriteFile(f.ticketKeyFile(), []byte(ticketKey), 0o600)
 	if err != nil {
 		return err
 	}
@@ -118,8 +119,8 @@
 	if err != nil {
 		return err
 	}
-	if !f.opts.NoRelease {
-		f.publish(ctx)
+	if !f.opts.SkipReleaseNote {
+		f.publishRelease(ctx)
 	}
 	for range f.opts.Routers {
 		_, err = f.AddRouter(ctx)
@@ -130,13 +131,13 @@
 	return f.awaitReady(ctx)
 }
 
-func (f *Fleet) secretFile() string { return filepath.Join(f.dir, "ticket.key") }
+func (f *Fleet) ticketKeyFile() string { return filepath.Join(f.dir, "ticket.key") }
 
 func (f *Fleet) startPlatform(ctx context.Context) (err error) {
 	return errors.Join(
 		f.serve(ctx, "log", f.Log.Handler()),
-		f.serve(ctx, "vms", f.VMs.Handler()),
-		f.serve(ctx, "weights", f.Weights.Handler()),
+		f.serve(ctx, "vms", f.VMList.Handler()),
+		f.serve(ctx, "weights", f.WeightStore.Handler()),
 	)
 }
 
@@ -159,17 +160,17 @@
 	return nil
 }
 
-// publish puts the first release note on the log, as an operator would.
-func (f *Fleet) publish(ctx context.Context) {
+// publishRelease appends the first release note to the log, as an operator would.
+func (f *Fleet) publishRelease(ctx context.Context) {
 	f.Publish(ctx, f.ReleaseNote())
 }
 
-// Publish appends the text of a release note.
+// Publish appends a release note to the configuration stream.
 func (f *Fleet) Publish(_ context.Context, text string) {
 	f.Log.Append(configuration.Stream, inforce.NoteRecord(text))
 }
 
-// ReleaseNote is the note that puts the whole fleet in force.
+// ReleaseNote returns a release note that adds all models, accounts, services and endpoints of the fleet.
 func (f *Fleet) ReleaseNote() (text string) {
 	text = "id = \"first\"\n"
 	for _, m := range f.opts.Models {
@@ -177,49 +178,49 @@
 	}
 	for i, a := range f.opts.Accounts {
 		text += fmt.Sprintf("\n[[added.accounts]]\nname = %q\nkeyDigest = %q\n", a, account.Digest(Key(a)))
-		if i < len(f.opts.Weights) {
-			text += fmt.Sprintf("weight = %.4f\n", f.opts.Weights[i])
+		if i < len(f.opts.AccountWeights) {
+			text += fmt.Sprintf("weight = %.4f\n", f.opts.AccountWeights[i])
 		}
 	}
 	if f.opts.Services > 0 {
 		text += fmt.Sprintf("\n[[added.services]]\nname = \"permits\"\npath = %q\nnotRepeatable = [%q]\n",
-			ServicePath, "POST "+NotRepeatable)
+			ServicePath, "POST "+NonIdempotentPath)
 	}
 	for i := range f.opts.Engines {
 		name := fmt.Sprintf("engine-%02d", i+1)
-		text += f.EngineItem("added", name)
+		text += f.EngineEntry("added", name)
 	}
 	for i := range f.opts.Services {
 		name := fmt.Sprintf("service-%02d", i+1)
 		text += fmt.Sprintf("\n[[added.endpoints]]\nname = %q\nkind = \"service\"\nservice = \"permits\"\n"+
-			"address = %q\nfailureDomain = %q\nechoes = true\n", name, f.Address(name), f.domain(i))
+			"address = %q\nfailureDomain = %q\nechoes = true\n", name, f.Address(name), f.domainAt(i))
 	}
 	return text
 }
 
-// EngineItem is the part of a release note that adds or changes one engine.
-func (f *Fleet) EngineItem(verb, name string) string {
+// EngineEntry returns the part of a release note that lists one engine in the given section, such as "added".
+func (f *Fleet) EngineEntry(section, name string) string {
 	var i int
 	_, _ = fmt.Sscanf(name, "engine-%d", &i)
 	return fmt.Sprintf("\n[[%s.endpoints]]\nname = %q\naddress = %q\nfailureDomain = %q\nmodels = %s\nchecksFence = %t\n",
-		verb, name, f.Address(name), f.domain(i), tomlList(f.opts.Models), f.opts.Engine.ChecksFence)
+		section, name, f.Address(name), f.domainAt(i), tomlStringArray(f.opts.Models), f.opts.Engine.ChecksFence)
 }
 
-func tomlList(texts []string) (list string) {
-	for _, t := range texts {
-		list += fmt.Sprintf("%q, ", t)
+func tomlStringArray(values []string) (array string) {
+	for _, t := range values {
+		array += fmt.Sprintf("%q, ", t)
 	}
-	return "[" + list + "]"
+	return "[" + array + "]"
 }
 
-func (f *Fleet) domain(i int) string { return f.opts.FailureDomains[i%len(f.opts.FailureDomains)] }
+func (f *Fleet) domainAt(i int) string { return f.opts.FailureDomains[i%len(f.opts.FailureDomains)] }
 
-// AddRouter starts one more router on a VM of its own name.
+// AddRouter starts another router on a new VM.
 func (f *Fleet) AddRouter(ctx context.Context) (r *router.Router, err error) {
 	defer annotate.Error(&err, "add router")
 	f.mu.Lock()
-	f.started++
-	n := f.started
+	f.routersStarted++
+	n := f.routersStarted
 	f.mu.Unlock()
 	s, err := settings.Parse(fmt.Sprintf("router-%d.toml", n), []byte(f.settings(n)))
 	if err != nil {
@@ -229,7 +230,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.VMs.Put(vmlist.VM{
+	f.VMList.Put(vmlist.VM{
 		Name: s.VM().Name(), Address: r.Peers(), FailureDomain: s.VM().FailureDomain(), Role: vmlist.RoleRouter,
 	})
 	f.mu.Lock()
@@ -239,25 +240,25 @@
 }
 
 func (f *Fleet) settings(n int) (text string) {
-	text = fmt.Sprintf("[vm]\nname = \"entry-%d\"\nfailureDomain = %q\n%s", n, f.domain(n-1), f.opts.Extra["vm"])
+	text = fmt.Sprintf("[vm]\nname = \"entry-%d\"\nfailureDomain = %q\n%s", n, f.domainAt(n-1), f.opts.Extra["vm"])
 	for _, section := range []string{"callers", "operators", "peers"} {
 		text += fmt.Sprintf("\n[%s]\naddress = %q\n%s", section, loopback, f.opts.Extra[section])
 	}
 	text += fmt.Sprintf("\n[platform]\nlog = \"http://%s\"\nvmList = \"http://%s\"\nweightStore = \"http://%s\"\n%s",
 		f.Address("log"), f.Address("vms"), f.Address("weights"), f.opts.Extra["platform"])
-	text += fmt.Sprintf("\n[routing]\nticketKeyFile = %q\n%s", f.secretFile(), f.opts.Extra["routing"])
+	text += fmt.Sprintf("\n[routing]\nticketKeyFile = %q\n%s", f.ticketKeyFile(), f.opts.Extra["routing"])
 	for _, section := range []string{"limits", "claims", "orders", "traces"} {
 		text += fmt.Sprintf("\n[%s]\n%s", section, f.opts.Extra[section])
 	}
 	return text
 }
 
-const readyCheck = 5 * time.Millisecond
+const readyPollInterval = 5 * time.Millisecond
 
 func (f *Fleet) awaitReady(ctx context.Context) (err error) {
-	tick := time.NewTicker(readyCheck)
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
-	for !f.ready() {
+	for !f.allReady() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -267,7 +268,7 @@
 	return nil
 }
 
-func (f *Fleet) ready() bool {
+func (f *Fleet) allReady() bool {
 	for _, r := range f.Routers() {
 		if !r.Ready() {
 			return false
@@ -276,7 +277,7 @@
 	return true
 }
 
-// Routers are the routers started so far, in their order.
+// Routers returns the routers that were started and not killed or stopped, in order of their start.
 func (f *Fleet) Routers() []*router.Router {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/fleet/fleet_test.go
+++ b/io/fleet/fleet_test.go
@@ -14,13 +14,13 @@
 	"savoryfall/io/standin/engine"
 )
 
-const quick = `period = "100ms"
+const fastPeers = `period = "100ms"
 `
 
 func start(t *testing.T, o fleet.Options) *fleet.Fleet {
 	t.Helper()
 	if o.Extra == nil {
-		o.Extra = map[string]string{"peers": quick, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n"}
+		o.Extra = map[string]string{"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n"}
 	}
 	o.Engine.Step = 2 * time.Millisecond
 	f := fleet.New(o, log.NewNopLogger())
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestStreamedCompletionArrivesWhole(t *testing.T) {
+func TestStreamedCompletionIsComplete(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 2})
 	for i := range 3 {
 		c := client(f, i)
--- a/io/fleet/leaving_test.go
+++ b/io/fleet/leaving_test.go
@@ -15,7 +15,7 @@
 	"savoryfall/io/standin/plainservice"
 )
 
-// call is a request to one router, with header lines as pairs.
+// call sends a request to one router and reads the whole response; extra holds pairs of header names and values.
 func call(t *testing.T, address, method, path, body string, extra ...string) (resp *http.Response) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+path, strings.NewReader(body))
@@ -32,12 +32,12 @@
 	return resp
 }
 
-// A router is told to stop and serves on for its lame duck time. Callers that kept their connections were never asked to
-// leave them: they were still on them, and sending, when the server ended them. Every answer must ask, also that to a request
-// which came before the router was told.
-func TestStoppingRouterAsksItsCallersToLeave(t *testing.T) {
+// A stopping router keeps serving for its lame duck period. Its responses lacked "Connection: close", so that clients with
+// keep-alive connections were still sending requests when the server closed them. Every response must carry it, including those
+// to requests that arrived before the stop.
+func TestDrainingRouterClosesClientConnections(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 2, Engines: 1, Services: 1, Extra: map[string]string{
-		"peers": quick, "callers": "lameDuck = \"2s\"\n", "routing": "probePeriod = \"200ms\"\n",
+		"peers": fastPeers, "callers": "lameDuck = \"2s\"\n", "routing": "probePeriod = \"200ms\"\n",
 	}})
 	leaving := f.Routers()[0]
 	address := leaving.Callers()
@@ -45,17 +45,17 @@
 	for _, s := range f.Services() {
 		s.Set(plainservice.Faults{LateMs: 500})
 	}
-	before := make(chan *http.Response)
+	earlierResponses := make(chan *http.Response)
 	go func() {
-		defer close(before)
-		before <- call(t, address, http.MethodPost, "/permits/1", "before")
+		defer close(earlierResponses)
+		earlierResponses <- call(t, address, http.MethodPost, "/permits/1", "before")
 	}()
 	time.Sleep(100 * time.Millisecond)
 	stopped := make(chan error, 1)
 	go func() { stopped <- f.StopRouter(t.Context(), leaving) }()
-	eventually(t, "it is stopping", func() bool { return status(t, leaving).Draining })
+	waitFor(t, "the router is draining", func() bool { return status(t, leaving).Draining })
 	created := time.Now().UTC().Format(time.RFC3339)
-	for _, given := range []struct {
+	for _, tc := range []struct {
 		name, method, path, body string
 		extra                    []string
 		status                   int
@@ -64,25 +64,25 @@
 		{"completion", http.MethodPost, completionsPath, `{"model":"sur-large","messages":[{"role":"user","content":"a #3"}]}`, nil, http.StatusOK},
 		{"stream", http.MethodPost, completionsPath, `{"model":"sur-large","stream":true,"messages":[{"role":"user","content":"a #3"}]}`, nil, http.StatusOK},
 		{"service", http.MethodPost, "/permits/1", "x", nil, http.StatusOK},
-		{"claimed call", http.MethodPost, fleet.NotRepeatable, "x", []string{header.Idempotency, "k", header.KeyCreated, created}, http.StatusOK},
+		{"claimed call", http.MethodPost, fleet.NonIdempotentPath, "x", []string{header.Idempotency, "k", header.KeyCreated, created}, http.StatusOK},
 		{"refusal", http.MethodPost, "/nowhere", "x", nil, http.StatusNotFound},
 		{"readiness", http.MethodGet, "/readyz", "", nil, http.StatusServiceUnavailable},
 		{"liveness", http.MethodGet, "/healthz", "", nil, http.StatusOK},
 	} {
-		t.Run(given.name, func(t *testing.T) {
-			resp := call(t, address, given.method, given.path, given.body, given.extra...)
-			assert.Equal(t, resp.StatusCode, given.status)
+		t.Run(tc.name, func(t *testing.T) {
+			resp := call(t, address, tc.method, tc.path, tc.body, tc.extra...)
+			assert.Equal(t, resp.StatusCode, tc.status)
 			assert.Assert(t, resp.Close)
 		})
 	}
-	late := <-before
-	assert.Assert(t, late != nil && late.Close, "a request from before the stop")
+	earlier := <-earlierResponses
+	assert.Assert(t, earlier != nil && earlier.Close, "a request from before the stop")
 	assert.NilError(t, <-stopped)
 }
 
-// An operator's connection is sending a header, and does not end it, when a router is told to stop. Operators' connections are
-// ended first: the stop waited for this one until its time was over, and had none left for the callers.
-func TestOperatorDoesNotHoldAStop(t *testing.T) {
+// An operator's connection has sent an incomplete header when a router is stopped. The operators' server is shut down first: it
+// waited for this connection until the stop timeout, which left no time to drain the clients' connections.
+func TestOperatorConnectionDoesNotDelayStop(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 1})
 	leaving := f.Routers()[0]
 	c, err := net.Dial("tcp", leaving.Operators())
--- a/io/fleet/parts.go
+++ b/io/fleet/lifecycle.go
@@ -28,7 +28,7 @@
 	return s.Start(ctx)
 }
 
-// Address is where a stand-in listens.
+// Address returns the address that a simulated service or endpoint listens on, or "" if it was never started.
 func (f *Fleet) Address(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// StartEngine starts an engine with an empty cache at the address; an earlier one of the name must be gone.
+// StartEngine starts an engine with an empty cache at the address. An earlier engine of the same name must have been killed.
 func (f *Fleet) StartEngine(ctx context.Context, name, address string) (err error) {
 	defer annotate.Error(&err, "start engine %s", name)
 	o := f.opts.Engine
@@ -49,15 +49,15 @@
 	if err != nil {
 		return err
 	}
-	run, stop := context.WithCancel(context.Background())
-	go e.Run(run)
+	runCtx, stop := context.WithCancel(context.Background())
+	go e.Run(runCtx)
 	f.mu.Lock()
 	f.engines[name] = &runningEngine{Engine: e, stop: stop}
 	f.mu.Unlock()
 	return nil
 }
 
-// KillEngine ends an engine in the middle of whatever it does, and returns its address for a successor.
+// KillEngine stops an engine abruptly, without draining, and returns its address so that a replacement can use it.
 func (f *Fleet) KillEngine(name string) (address string) {
 	address = f.Address(name)
 	f.mu.Lock()
@@ -67,7 +67,8 @@
 	return address
 }
 
-// KillEngines ends several engines at once: no request that one of them loses finds another still listening.
+// KillEngines kills several engines at once. All of them stop accepting connections first, so that a request that one of
+// them loses cannot be retried at another that is about to be killed.
 func (f *Fleet) KillEngines(names ...string) {
 	f.mu.Lock()
 	for _, name := range names {
@@ -79,14 +80,14 @@
 	}
 }
 
-// Engine is the engine of that name.
+// Engine returns the engine of that name.
 func (f *Fleet) Engine(name string) *engine.Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engines[name].Engine
 }
 
-// Engines are all engines by name.
+// Engines returns all engines by name.
 func (f *Fleet) Engines() map[string]*engine.Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,32 +98,32 @@
 	return all
 }
 
-// Service is the plain service process of that name.
+// Service returns the plain service process of that name.
 func (f *Fleet) Service(name string) *plainservice.Service { return f.services[name] }
 
-// KillService ends a process of the plain service in the middle of whatever it does.
+// KillService stops a process of the plain service abruptly, without draining.
 func (f *Fleet) KillService(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.servers[name].Kill()
 }
 
-// Services are all processes of the plain service.
+// Services returns all processes of the plain service by name.
 func (f *Fleet) Services() map[string]*plainservice.Service { return f.services }
 
-// KillRouter ends a router without a word, as the loss of its VM would, and takes it off the list of routers.
+// KillRouter stops a router abruptly, as the loss of its VM would, and removes it from the list of routers.
 func (f *Fleet) KillRouter(r *router.Router) {
-	f.forget(r)
+	f.removeRouter(r)
 	r.Kill()
 }
 
-// StopRouter stops a router as planned.
+// StopRouter stops a router gracefully and removes it from the list of routers.
 func (f *Fleet) StopRouter(ctx context.Context, r *router.Router) error {
-	f.forget(r)
+	f.removeRouter(r)
 	return r.Stop(ctx)
 }
 
-func (f *Fleet) forget(r *router.Router) {
+func (f *Fleet) removeRouter(r *router.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, other := range f.routers {
@@ -133,7 +134,7 @@
 	}
 }
 
-// Stop stops the routers as planned, then everything else.
+// Stop stops the routers gracefully, then kills the simulated services and endpoints.
 func (f *Fleet) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop fleet")
 	stopped := make(chan error)
--- a/io/fleet/members_test.go
+++ b/io/fleet/members_test.go
@@ -36,8 +36,8 @@
 	return ""
 }
 
-// everywhere tells whether all routers believe this of engine-01.
-func everywhere(t *testing.T, f *fleet.Fleet, want health.State) bool {
+// healthEverywhere reports whether all routers report this health state for engine-01.
+func healthEverywhere(t *testing.T, f *fleet.Fleet, want health.State) bool {
 	t.Helper()
 	for _, r := range f.Routers() {
 		if endpointState(t, r, "engine-01") != want {
@@ -47,23 +47,23 @@
 	return true
 }
 
-// A router dies without a word; the others take it for dead. It is replaced under its own name and is alive again.
-func TestDeadRouterIsNoticed(t *testing.T) {
+// A router is killed, and the other routers mark it as dead.
+func TestDeadRouterIsDetected(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 4, Engines: 1})
-	gone := f.Routers()[1]
-	eventually(t, "all know each other", func() bool { return memberState(t, f.Routers()[0], "entry-2") == "alive" })
-	f.KillRouter(gone)
+	killed := f.Routers()[1]
+	waitFor(t, "all know each other", func() bool { return memberState(t, f.Routers()[0], "entry-2") == "alive" })
+	f.KillRouter(killed)
 	for _, r := range f.Routers() {
-		eventually(t, "entry-2 is dead", func() bool { return memberState(t, r, "entry-2") == "dead" })
+		waitFor(t, "entry-2 is dead", func() bool { return memberState(t, r, "entry-2") == "dead" })
 	}
 }
 
-// Two routers cannot speak to each other, but both to a third. Neither is taken for dead: the third vouches for them.
-func TestCutBetweenTwoRoutersEjectsNobody(t *testing.T) {
+// Two routers cannot reach each other, but both reach a third. Neither is marked dead, because the third still hears them.
+func TestPartitionBetweenTwoRoutersMarksNeitherDead(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	a, b := f.Routers()[0], f.Routers()[1]
 	for _, r := range f.Routers() {
-		eventually(t, "all know each other", func() bool { return len(status(t, r).Members) == 2 })
+		waitFor(t, "all know each other", func() bool { return len(status(t, r).Members) == 2 })
 	}
 	a.Agent().Cut(func(name string) bool { return name == "entry-2" })
 	b.Agent().Cut(func(name string) bool { return name == "entry-1" })
@@ -76,11 +76,12 @@
 	assert.Assert(t, seen["alive"] && !seen["dead"], "%v", seen)
 }
 
-// An engine says that it is leaving; on every router it gets no new work, and what it has goes on to its end.
+// An engine announces that it is leaving. No router sends it new requests, and the mark is not removed when the engine stops
+// announcing it.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 2})
 	f.Engine("engine-01").Set(engine.Faults{Leaving: true})
-	eventually(t, "engine-01 is leaving everywhere", func() bool { return everywhere(t, f, health.Leaving) })
+	waitFor(t, "engine-01 is leaving everywhere", func() bool { return healthEverywhere(t, f, health.Leaving) })
 	served := f.Engine("engine-01").Truth().Served
 	for i := range 10 {
 		text := fmt.Sprintf("elsewhere %d #5", i)
@@ -88,32 +89,34 @@
 	}
 	assert.Equal(t, f.Engine("engine-01").Truth().Served, served)
 	f.Engine("engine-01").Set(engine.Faults{})
-	assert.Equal(t, endpointState(t, f.Routers()[0], "engine-01"), health.Leaving, "a mark is never taken back")
+	assert.Equal(t, endpointState(t, f.Routers()[0], "engine-01"), health.Leaving, "a leaving mark is never removed")
 }
 
-// The VM list shows an engine's VM as leaving, and lags; the mark spreads, and its successor is free of it.
+// The VM list shows an engine's VM as leaving. The mark reaches all routers, and does not apply to the engine that is started
+// in its place, although the list still shows the mark.
 func TestListedMarkAndItsSuccessor(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 2, Engines: 2, Extra: map[string]string{
-		"peers": quick, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
+		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 		"platform": "vmListPeriod = \"100ms\"\n",
 	}})
-	f.VMs.Put(vmlist.VM{Name: "engine-01", Role: vmlist.RoleEndpoint})
-	eventually(t, "engine-01 is heard", func() bool { return everywhere(t, f, health.Up) })
-	f.VMs.Put(vmlist.VM{Name: "engine-01", Role: vmlist.RoleEndpoint, Leaving: true})
-	eventually(t, "engine-01 is leaving everywhere", func() bool { return everywhere(t, f, health.Leaving) })
+	f.VMList.Put(vmlist.VM{Name: "engine-01", Role: vmlist.RoleEndpoint})
+	waitFor(t, "engine-01 is heard", func() bool { return healthEverywhere(t, f, health.Up) })
+	f.VMList.Put(vmlist.VM{Name: "engine-01", Role: vmlist.RoleEndpoint, Leaving: true})
+	waitFor(t, "engine-01 is leaving everywhere", func() bool { return healthEverywhere(t, f, health.Leaving) })
 	address := f.KillEngine("engine-01")
 	assert.NilError(t, f.StartEngine(t.Context(), "engine-01", address))
-	eventually(t, "the successor is up everywhere", func() bool { return everywhere(t, f, health.Up) })
+	waitFor(t, "the successor is up everywhere", func() bool { return healthEverywhere(t, f, health.Up) })
 }
 
-// streams starts so many streams of so many tokens, each of which must arrive whole; wait for them at the end.
-func streams(t *testing.T, f *fleet.Fleet, n, tokens int) (all *sync.WaitGroup) {
+// startStreams starts n streams of the given number of tokens, each of which must arrive complete. The test must wait for the
+// returned group.
+func startStreams(t *testing.T, f *fleet.Fleet, n, tokens int) (all *sync.WaitGroup) {
 	t.Helper()
 	all = &sync.WaitGroup{}
 	for i := range n {
 		all.Go(func() {
 			text := fmt.Sprintf("stream %d #%d", i, tokens)
-			got, err := completed(t.Context(), f, text)
+			got, err := completeContext(t.Context(), f, text)
 			assert.Check(t, err)
 			assert.Check(t, got == want(text))
 		})
@@ -121,14 +124,15 @@
 	return all
 }
 
-// streamsOn starts streams until some run on the engine: on a busy machine all of them may end before that is looked at.
-func streamsOn(t *testing.T, f *fleet.Fleet, name string, n, tokens int) (all *sync.WaitGroup) {
+// startStreamsOn starts streams until some are seen running on the engine. On a busy machine all streams of one round may end
+// before the check.
+func startStreamsOn(t *testing.T, f *fleet.Fleet, name string, n, tokens int) (all *sync.WaitGroup) {
 	t.Helper()
 	var ended atomic.Bool
 	ended.Store(true)
-	eventually(t, "work runs on "+name, func() bool {
+	waitFor(t, "requests run on "+name, func() bool {
 		if ended.Swap(false) {
-			wave := streams(t, f, n, tokens)
+			wave := startStreams(t, f, n, tokens)
 			all = wave
 			go func() {
 				wave.Wait()
@@ -140,21 +144,21 @@
 	return all
 }
 
-// An engine is killed while streams run on it; their callers get the rest from another one, and the dead one is out of
-// use on every router.
+// An engine is killed while streams run on it. Their clients get the rest from another engine, and every router marks the killed
+// engine as down.
 func TestKilledEngine(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 3})
-	all := streamsOn(t, f, "engine-01", 12, 200)
+	all := startStreamsOn(t, f, "engine-01", 12, 200)
 	f.KillEngine("engine-01")
 	all.Wait()
-	eventually(t, "engine-01 is down everywhere", func() bool { return everywhere(t, f, health.Down) })
+	waitFor(t, "engine-01 is down everywhere", func() bool { return healthEverywhere(t, f, health.Down) })
 }
 
-// An engine stops moving, as a frozen process does: its connections stand, but nothing comes. Its streams go on
-// elsewhere, and it is out of use.
+// An engine hangs as a frozen process does: its connections stay open, but it sends nothing. All requests are answered by the
+// other engine.
 func TestFrozenEngine(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 2, Extra: map[string]string{
-		"peers": quick, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
+		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 		"limits": "firstToken = \"300ms\"\nbetweenTokens = \"300ms\"\nretryRatio = 1.0\n",
 	}})
 	f.Engine("engine-01").Set(engine.Faults{Frozen: true})
@@ -164,18 +168,18 @@
 	}
 }
 
-// A router is told to stop while a long stream runs through it. Its readiness fails, the stream arrives whole, and the
-// peers know that it is leaving, not dead.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// A router is stopped while a long stream runs through it. Its readiness check fails, the stream arrives complete, and the peers
+// report the router as leaving, not dead.
+func TestGracefulStopCompletesStreams(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1, Extra: map[string]string{
-		"peers": quick, "callers": "lameDuck = \"300ms\"\n", "routing": "probePeriod = \"200ms\"\n",
+		"peers": fastPeers, "callers": "lameDuck = \"300ms\"\n", "routing": "probePeriod = \"200ms\"\n",
 	}})
 	leaving := f.Routers()[0]
-	all := streams(t, f, 1, 400)
-	eventually(t, "the stream runs", func() bool { return f.Engine("engine-01").Truth().Requests == 1 })
+	all := startStreams(t, f, 1, 400)
+	waitFor(t, "the stream runs", func() bool { return f.Engine("engine-01").Truth().Requests == 1 })
 	stopped := make(chan error)
 	go func() { stopped <- f.StopRouter(t.Context(), leaving) }()
-	eventually(t, "it is not ready", func() bool {
+	waitFor(t, "the router is not ready", func() bool {
 		resp, err := http.Get("http://" + leaving.Callers() + "/readyz")
 		if err != nil {
 			return true
@@ -190,12 +194,12 @@
 	}
 }
 
-// Five of six engines are killed at once while streams run on all of them. Each stream meets several dead engines in
-// a row; all callers get the whole of their answers from the one that is left.
-func TestMostEnginesKilledAtOnce(t *testing.T) {
+// Five of six engines are killed at once while streams run on all of them. A retry may reach several dead engines in a row; all
+// clients get complete responses from the engine that is left.
+func TestStreamsSurviveLossOfMostEngines(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 6})
-	all := streams(t, f, 18, 300)
-	eventually(t, "all streams run", func() bool {
+	all := startStreams(t, f, 18, 300)
+	waitFor(t, "all streams run", func() bool {
 		running := 0
 		for _, e := range f.Engines() {
 			running += e.Truth().Requests
--- a/io/fleet/orders_test.go
+++ b/io/fleet/orders_test.go
@@ -11,18 +11,18 @@
 	"savoryfall/io/standin/engine"
 )
 
-func ordersFleet(t *testing.T, checksFence bool) *fleet.Fleet {
+func startOrdersFleet(t *testing.T, checksFence bool) *fleet.Fleet {
 	t.Helper()
 	return start(t, fleet.Options{
 		Routers: 3, Engines: 4, Engine: engine.Options{ChecksFence: checksFence},
 		Extra: map[string]string{
-			"peers": quick, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
+			"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 			"orders": "leaseTerm = \"600ms\"\nlongestOrder = \"200ms\"\nperiod = \"100ms\"\nloadsPerSecond = 20\n",
 		},
 	})
 }
 
-func allLoaded(f *fleet.Fleet, want ...string) bool {
+func allEnginesLoaded(f *fleet.Fleet, want ...string) bool {
 	for _, e := range f.Engines() {
 		if _, loaded := e.Orders(); !slices.Equal(loaded, want) {
 			return false
@@ -31,7 +31,7 @@
 	return true
 }
 
-func versionNote(id, basedOn, added, withdrawn string) string {
+func replaceVersionNote(id, basedOn, added, withdrawn string) string {
 	text := fmt.Sprintf("id = %q\nbasedOn = %q\n[[added.versions]]\nmodel = \"sur-large\"\nname = %q\n", id, basedOn, added)
 	if withdrawn != "" {
 		text += fmt.Sprintf("[withdrawn]\nversions = [\"sur-large@%s\"]\n", withdrawn)
@@ -39,20 +39,20 @@
 	return text
 }
 
-// A note adds a version, the next one replaces it; the engines of all failure domains come to hold it by orders under
-// leases, while callers are served. The routers that held the leases are lost in between.
-func TestRolloutOutlivesTheLeaseHolders(t *testing.T) {
+// A note adds a version and the next one replaces it; routers that hold the leases order the engines of all failure domains to load
+// it while clients are served. Two routers, which may hold leases, are killed in between.
+func TestRolloutContinuesAfterLeaseHoldersDie(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checksFence=%t", checks), func(t *testing.T) {
-			f := ordersFleet(t, checks)
-			f.Publish(t.Context(), versionNote("v1", "first", "v1", ""))
-			eventually(t, "v1 is loaded everywhere", func() bool { return allLoaded(f, "sur-large@v1") })
+			f := startOrdersFleet(t, checks)
+			f.Publish(t.Context(), replaceVersionNote("v1", "first", "v1", ""))
+			waitFor(t, "v1 is loaded everywhere", func() bool { return allEnginesLoaded(f, "sur-large@v1") })
 			f.KillRouter(f.Routers()[0])
 			f.KillRouter(f.Routers()[0])
-			f.Publish(t.Context(), versionNote("v2", "v1", "v2", "v1"))
-			eventually(t, "v2 is loaded everywhere", func() bool {
+			f.Publish(t.Context(), replaceVersionNote("v2", "v1", "v2", "v1"))
+			waitFor(t, "v2 is loaded everywhere", func() bool {
 				assert.Equal(t, complete(t, f, "during #3"), want("during #3"))
-				return allLoaded(f, "sur-large@v2")
+				return allEnginesLoaded(f, "sur-large@v2")
 			})
 		})
 	}
--- a/io/fleet/tls_test.go
+++ b/io/fleet/tls_test.go
@@ -22,7 +22,7 @@
 	"savoryfall/io/fleet"
 )
 
-// certificate writes a certificate for loopback that is its own authority, and its key.
+// certificate writes a self-signed certificate for loopback, and its key.
 func certificate(t *testing.T, name string) (certFile, keyFile string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -43,16 +43,16 @@
 	return certFile, keyFile
 }
 
-// Callers are served over TLS, and peers speak over TLS with certificates on both sides; a peer without one is not let
-// in, and one with another authority is not believed.
+// Clients are served over TLS, and peers use mutual TLS: a peer without a certificate, or with one from another authority, is
+// rejected.
 func TestTLS(t *testing.T) {
 	cert, key := certificate(t, "fleet")
 	files := fmt.Sprintf("certificate = %q\nkey = %q\n", cert, key)
 	f := start(t, fleet.Options{Routers: 2, Engines: 1, Extra: map[string]string{
-		"peers": quick + files + fmt.Sprintf("authority = %q\n", cert), "callers": "lameDuck = \"0s\"\n" + files,
+		"peers": fastPeers + files + fmt.Sprintf("authority = %q\n", cert), "callers": "lameDuck = \"0s\"\n" + files,
 		"routing": "probePeriod = \"200ms\"\n",
 	}})
-	eventually(t, "the peers hear each other", func() bool {
+	waitFor(t, "the peers hear each other", func() bool {
 		return memberState(t, f.Routers()[0], "entry-2") == "alive" && status(t, f.Routers()[0]).Members[0].Incarnation > 0
 	})
 	pem, err := os.ReadFile(cert)
@@ -65,8 +65,8 @@
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
-	stranger, strangerKey := certificate(t, "stranger")
-	pair, err := tls.LoadX509KeyPair(stranger, strangerKey)
+	untrustedCert, untrustedKey := certificate(t, "stranger")
+	pair, err := tls.LoadX509KeyPair(untrustedCert, untrustedKey)
 	assert.NilError(t, err)
 	for _, certs := range [][]tls.Certificate{nil, {pair}} {
 		c, err := tls.Dial("tcp", f.Routers()[0].Peers(), &tls.Config{RootCAs: pool, Certificates: certs})
--- a/io/load/ask.go
+++ b/io/load/ask.go
@@ -216,7 +216,7 @@
 }
 
 func (r *Run) callService(ctx context.Context, address, key string) (told string, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+fleet.NotRepeatable, strings.NewReader("permit"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+fleet.NonIdempotentPath, strings.NewReader("permit"))
 	if err != nil {
 		return "", err
 	}
--- a/io/load/run.go
+++ b/io/load/run.go
@@ -83,7 +83,7 @@
 	}
 	for i := range r.plan.Accounts.Count {
 		o.Accounts = append(o.Accounts, accountName(i))
-		o.Weights = append(o.Weights, r.people.weights[i])
+		o.AccountWeights = append(o.AccountWeights, r.people.weights[i])
 	}
 	return o
 }
