--- a/io/load/doc.go
+++ b/io/load/doc.go
@@ -1,2 +1,3 @@
-// Package load drives a fleet by a plan and reports cache reuse, skew and control traffic.
+// Package load runs a load test against an embedded fleet as a plan describes it, and reports cache reuse, load skew between
+// engines, latencies and control traffic.
 package load
--- a/io/load/files.go
+++ b/io/load/output.go
@@ -14,7 +14,7 @@
 	"savoryfall/core/annotate"
 )
 
-// Write leaves the run over time as a CSV file and a plot in the folder.
+// Write writes the time series of the run to the directory, as a CSV file and an SVG plot.
 func (r *Run) Write(dir string) (err error) {
 	defer annotate.Error(&err, "write run to %s", dir)
 	err = os.MkdirAll(dir, 0o750)
@@ -36,11 +36,11 @@
 	defer func() { _ = f.Close() }()
 	w := csv.NewWriter(f)
 	rows := [][]string{{"second", "requestSkew", "tokenSkew", "outstandingPerEngine", "whole", "notWhole", "foundTokens", "knowableTokens", "firstTokenP95Ms"}}
-	for _, s := range r.figures.seconds {
+	for _, s := range r.stats.windows {
 		rows = append(rows, []string{
-			fmt.Sprintf("%.1f", s.at), fmt.Sprintf("%.3f", s.requestSkew), fmt.Sprintf("%.3f", s.tokenSkew),
-			fmt.Sprintf("%.1f", s.outstanding), fmt.Sprint(s.whole), fmt.Sprint(s.errors), fmt.Sprint(s.found),
-			fmt.Sprint(s.knowable), fmt.Sprintf("%.1f", s.firstP95Ms),
+			fmt.Sprintf("%.1f", s.elapsedSeconds), fmt.Sprintf("%.3f", s.requestSkew), fmt.Sprintf("%.3f", s.tokenSkew),
+			fmt.Sprintf("%.1f", s.outstandingPerEngine), fmt.Sprint(s.complete), fmt.Sprint(s.incomplete), fmt.Sprint(s.foundTokens),
+			fmt.Sprint(s.knowableTokens), fmt.Sprintf("%.1f", s.firstTokenP95Ms),
 		})
 	}
 	return w.WriteAll(rows)
@@ -55,17 +55,17 @@
 	p := plot.New()
 	p.Title.Text = "policy " + r.policy
 	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = "busiest over mean; share of knowable tokens found"
+	p.Y.Label.Text = "busiest engine / mean; found / knowable tokens"
 	var requests, tokens, reuse plotter.XYs
-	for i, s := range r.figures.seconds {
-		requests = append(requests, plotter.XY{X: s.at, Y: s.requestSkew})
-		tokens = append(tokens, plotter.XY{X: s.at, Y: s.tokenSkew})
-		if i > 0 && s.knowable > r.figures.seconds[i-1].knowable {
-			before := r.figures.seconds[i-1]
-			reuse = append(reuse, plotter.XY{X: s.at, Y: float64(s.found-before.found) / float64(s.knowable-before.knowable)})
+	for i, s := range r.stats.windows {
+		requests = append(requests, plotter.XY{X: s.elapsedSeconds, Y: s.requestSkew})
+		tokens = append(tokens, plotter.XY{X: s.elapsedSeconds, Y: s.tokenSkew})
+		if i > 0 && s.knowableTokens > r.stats.windows[i-1].knowableTokens {
+			before := r.stats.windows[i-1]
+			reuse = append(reuse, plotter.XY{X: s.elapsedSeconds, Y: float64(s.foundTokens-before.foundTokens) / float64(s.knowableTokens-before.knowableTokens)})
 		}
 	}
-	err = plotutil.AddLines(p, "skew of requests", requests, "skew of tokens", tokens, "cache reuse", reuse)
+	err = plotutil.AddLines(p, "request skew", requests, "token skew", tokens, "cache reuse", reuse)
 	if err != nil {
 		return err
 	}
--- a/io/load/run.go
+++ b/io/load/run.go
@@ -18,35 +18,36 @@
 	"savoryfall/io/standin/logservice"
 )
 
-// Run is one experiment: a plan, a policy, and the embedded fleet that is driven.
+// Run is one load test of an embedded fleet, with a plan and a routing policy.
 type Run struct {
-	plan     *loadplan.Plan
-	policy   string
-	extra    map[string]string
-	fleet    *fleet.Fleet
-	shadow   *engine.Shadow
-	client   *http.Client
-	figures  *figures
-	mu       sync.Mutex
-	people   *population
-	began    time.Time
-	leaving  map[string]time.Time
-	baseline map[string]map[string]uint64
-	attempts uint64
-	requests sync.WaitGroup
+	plan             *loadplan.Plan
+	policy           string
+	extraSettings    map[string]string
+	fleet            *fleet.Fleet
+	idealCache       *engine.Shadow
+	client           *http.Client
+	stats            *stats
+	mu               sync.Mutex
+	workload         *workload
+	started          time.Time
+	excluded         map[string]time.Time
+	controlBaseline  map[string]map[string]uint64
+	attemptsBaseline uint64
+	inFlight         sync.WaitGroup
 }
 
-// New makes a run of the plan with a placement policy; extra is TOML added to the settings of the routers.
-func New(p *loadplan.Plan, policy string, extra map[string]string) *Run {
+// New returns a run of the plan with a routing policy; extraSettings holds TOML that is appended to sections of the routers'
+// settings, by section name.
+func New(p *loadplan.Plan, policy string, extraSettings map[string]string) *Run {
 	return &Run{
-		plan: p, policy: policy, extra: extra, figures: newFigures(), people: newPopulation(p), leaving: map[string]time.Time{},
+		plan: p, policy: policy, extraSettings: extraSettings, stats: newStats(), workload: newWorkload(p), excluded: map[string]time.Time{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}},
 	}
 }
 
-const drainTime = 30 * time.Second
+const stopTimeout = 30 * time.Second
 
-// Do starts the fleet, drives it through the plan and stops it.
+// Do starts the fleet, runs the plan and stops the fleet.
 func (r *Run) Do(ctx context.Context, logger log.Logger) (report *Report, err error) {
 	defer annotate.Error(&err, "run policy %s", r.policy)
 	r.fleet = fleet.New(r.options(), logger)
@@ -54,14 +55,14 @@
 	if err != nil {
 		return nil, err
 	}
-	r.shadow = engine.NewShadow(r.plan.Engine.CacheTokens * r.plan.Fleet.Engines)
-	r.began = time.Now()
+	r.idealCache = engine.NewShadow(r.plan.Engine.CacheTokens * r.plan.Fleet.Engines)
+	r.started = time.Now()
 	r.drive(ctx)
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTime)
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
-	report = r.figures.finish(r.plan.Duration - r.plan.Warmup)
+	report = r.stats.finalize(r.plan.Duration - r.plan.Warmup)
 	report.Policy = r.policy
-	r.countRuns(report)
+	r.countDuplicates(report)
 	return report, r.fleet.Stop(stop)
 }
 
@@ -76,126 +77,126 @@
 		},
 		Extra: map[string]string{
 			"callers": "lameDuck = \"0s\"\n",
-			"routing": fmt.Sprintf("policy = %q\nbound = %v\n", r.policy, r.plan.Bound) + r.extra["routing"],
-			"limits":  r.extra["limits"],
-			"peers":   r.extra["peers"],
+			"routing": fmt.Sprintf("policy = %q\nbound = %v\n", r.policy, r.plan.Bound) + r.extraSettings["routing"],
+			"limits":  r.extraSettings["limits"],
+			"peers":   r.extraSettings["peers"],
 		},
 	}
 	for i := range r.plan.Accounts.Count {
 		o.Accounts = append(o.Accounts, accountName(i))
-		o.AccountWeights = append(o.AccountWeights, r.people.weights[i])
+		o.AccountWeights = append(o.AccountWeights, r.workload.weights[i])
 	}
 	return o
 }
 
 func accountName(i int) string { return fmt.Sprintf("account-%02d", i+1) }
 
-// drive sends requests until the plan is over, and waits for the last answers.
+// drive sends requests for the duration of the plan and waits for the last responses.
 func (r *Run) drive(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.plan.Duration)
 	defer cancel()
 	var background sync.WaitGroup
 	background.Go(func() { r.sample(ctx) })
-	background.Go(func() { r.disturb(ctx) })
+	background.Go(func() { r.injectFaults(ctx) })
 	background.Go(func() { r.callServices(ctx) })
-	r.open(ctx)
+	r.generateRequests(ctx)
 	background.Wait()
-	r.requests.Wait()
+	r.inFlight.Wait()
 }
 
-// open is an open loop: requests come when they come, however slow the answers are.
-func (r *Run) open(ctx context.Context) {
-	next := r.began
+// generateRequests sends requests in an open loop: their times do not depend on how fast responses arrive.
+func (r *Run) generateRequests(ctx context.Context) {
+	next := r.started
 	for {
-		next = next.Add(r.people.gap(next.Sub(r.began)))
+		next = next.Add(r.workload.nextInterval(next.Sub(r.started)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(next)):
 		}
 		r.mu.Lock()
-		c := r.people.next(time.Now(), time.Since(r.began))
+		c := r.workload.next(time.Now(), time.Since(r.started))
 		r.mu.Unlock()
-		r.requests.Go(func() { r.ask(ctx, c) })
+		r.inFlight.Go(func() { r.runTurn(ctx, c) })
 	}
 }
 
-func (r *Run) router(random *rand.Rand) *router.Router {
+func (r *Run) randomRouter(random *rand.Rand) *router.Router {
 	routers := r.fleet.Routers()
 	return routers[random.IntN(len(routers))]
 }
 
-func (r *Run) measured() bool { return time.Since(r.began) >= r.plan.Warmup }
+func (r *Run) warmedUp() bool { return time.Since(r.started) >= r.plan.Warmup }
 
-// disturb plays the churn and the outages of the plan.
-func (r *Run) disturb(ctx context.Context) {
+// injectFaults applies the engine churn and the log outages of the plan.
+func (r *Run) injectFaults(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, c := range r.plan.Churn {
 		all.Go(func() {
-			if r.sleep(ctx, c.At) {
-				r.churn(ctx, c)
+			if r.sleepUntil(ctx, c.At) {
+				r.applyChurn(ctx, c)
 			}
 		})
 	}
 	for _, o := range r.plan.Outages {
 		all.Go(func() {
-			if !r.sleep(ctx, o.At) {
+			if !r.sleepUntil(ctx, o.At) {
 				return
 			}
 			r.fleet.Log.Set(logservice.Faults{Down: true})
-			r.sleep(ctx, o.At+o.For)
+			r.sleepUntil(ctx, o.At+o.For)
 			r.fleet.Log.Set(logservice.Faults{})
 		})
 	}
 	all.Wait()
 }
 
-func (r *Run) sleep(ctx context.Context, at time.Duration) bool {
+func (r *Run) sleepUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(time.Until(r.began.Add(at))):
+	case <-time.After(time.Until(r.started.Add(at))):
 		return true
 	}
 }
 
-// churn kills, stops or starts an engine; a loss takes the shadow's part of the cache with it.
-func (r *Run) churn(ctx context.Context, c loadplan.Churn) {
+// applyChurn kills, drains or starts an engine. When an engine is lost, the ideal cache loses one engine's share of its content.
+func (r *Run) applyChurn(ctx context.Context, c loadplan.Churn) {
 	name := fmt.Sprintf("engine-%02d", c.Engine)
 	share := 1 / float64(r.plan.Fleet.Engines)
 	random := rand.New(rand.NewPCG(r.plan.Seed, uint64(c.At)))
 	switch c.Action {
 	case loadplan.ActionKill:
 		r.fleet.KillEngine(name)
-		r.setLeaving(name, true)
-		r.shadow.Lose(share, random)
+		r.setExcluded(name, true)
+		r.idealCache.Lose(share, random)
 	case loadplan.ActionLeave:
 		r.fleet.Engine(name).Set(engine.Faults{Leaving: true})
-		r.setLeaving(name, true)
-		r.shadow.Lose(share, random)
+		r.setExcluded(name, true)
+		r.idealCache.Lose(share, random)
 	case loadplan.ActionStart:
 		address := r.fleet.KillEngine(name)
 		if r.fleet.StartEngine(ctx, name, address) == nil {
-			r.setLeaving(name, false)
+			r.setExcluded(name, false)
 		}
 	}
 }
 
-func (r *Run) setLeaving(name string, leaving bool) {
+func (r *Run) setExcluded(name string, excluded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if leaving {
-		r.leaving[name] = time.Now()
+	if excluded {
+		r.excluded[name] = time.Now()
 		return
 	}
-	delete(r.leaving, name)
+	delete(r.excluded, name)
 }
 
-func (r *Run) countRuns(report *Report) {
+func (r *Run) countDuplicates(report *Report) {
 	for _, s := range r.fleet.Services() {
 		for key, n := range s.Ran() {
 			if key != "" && n > 1 {
-				report.RunTwice++
+				report.DuplicatesRun++
 			}
 		}
 	}
--- a/io/load/sample.go
+++ b/io/load/sample.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	samplePeriod = 100 * time.Millisecond
-	windowSize   = 10
-	// fullEnough is how many requests an engine must hold on average for a window to count for the skew: with few,
-	// one request alone is far over any mean.
-	fullEnough = 20
+	samplePeriod     = 100 * time.Millisecond
+	samplesPerWindow = 10
+	// minMeanRequests is the mean number of requests per engine from which on a window counts for the skew. With fewer, a
+	// single request on one engine is far above the mean.
+	minMeanRequests = 20
 )
 
-// window adds up the samples of one second, by engine.
+// window sums the load samples of one second by engine.
 type window struct {
 	requests map[string]float64
 	tokens   map[string]float64
@@ -26,36 +26,37 @@
 	return &window{requests: map[string]float64{}, tokens: map[string]float64{}}
 }
 
-// sample looks at the engines themselves, as no router can, ten times a second.
+// sample reads the true load from the engines themselves ten times a second, which no router can see, and records the control
+// traffic of the run at its end.
 func (r *Run) sample(ctx context.Context) {
 	tick := time.NewTicker(samplePeriod)
 	defer tick.Stop()
 	w := newWindow()
-	marked := false
+	baselineRecorded := false
 	for {
 		select {
 		case <-ctx.Done():
-			r.control()
+			r.finishControl()
 			return
 		case <-tick.C:
-			if !marked && r.measured() {
-				r.markControl()
-				marked = true
+			if !baselineRecorded && r.warmedUp() {
+				r.recordBaseline()
+				baselineRecorded = true
 			}
-			r.look(w)
-			if w.samples == windowSize {
-				r.close(w)
+			r.takeSample(w)
+			if w.samples == samplesPerWindow {
+				r.closeWindow(w)
 				w = newWindow()
 			}
 		}
 	}
 }
 
-func (r *Run) look(w *window) {
+func (r *Run) takeSample(w *window) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, e := range r.fleet.Engines() {
-		if _, gone := r.leaving[name]; gone {
+		if _, skip := r.excluded[name]; skip {
 			continue
 		}
 		t := e.Truth()
@@ -65,29 +66,29 @@
 	w.samples++
 }
 
-func (r *Run) close(w *window) {
-	skew, mean := overMean(w.requests)
-	tokenSkew, _ := overMean(w.tokens)
-	f := r.figures
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s := second{
-		at: time.Since(r.began).Seconds(), requestSkew: skew, tokenSkew: tokenSkew, outstanding: mean / windowSize,
-		whole: f.report.Whole, errors: f.report.Requests - f.report.Whole, found: f.report.FoundTokens,
-		knowable: f.report.KnowableTokens, firstP95Ms: percentiles(f.first).P95,
+func (r *Run) closeWindow(w *window) {
+	skew, mean := busiestOverMean(w.requests)
+	tokenSkew, _ := busiestOverMean(w.tokens)
+	st := r.stats
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	s := windowStats{
+		elapsedSeconds: time.Since(r.started).Seconds(), requestSkew: skew, tokenSkew: tokenSkew, outstandingPerEngine: mean / samplesPerWindow,
+		complete: st.report.Complete, incomplete: st.report.Requests - st.report.Complete, foundTokens: st.report.FoundTokens,
+		knowableTokens: st.report.KnowableTokens, firstTokenP95Ms: percentiles(st.firstToken).P95,
 	}
-	f.seconds = append(f.seconds, s)
-	if r.measured() && mean/windowSize >= fullEnough {
-		f.reqSkew = append(f.reqSkew, skew)
-		f.tokSkew = append(f.tokSkew, tokenSkew)
+	st.windows = append(st.windows, s)
+	if r.warmedUp() && mean/samplesPerWindow >= minMeanRequests {
+		st.requestSkews = append(st.requestSkews, skew)
+		st.tokenSkews = append(st.tokenSkews, tokenSkew)
 	}
 }
 
-func overMean(by map[string]float64) (skew, mean float64) {
+func busiestOverMean(values map[string]float64) (skew, mean float64) {
 	busiest := 0.0
-	for _, v := range by {
+	for _, v := range values {
 		busiest = max(busiest, v)
-		mean += v / float64(len(by))
+		mean += v / float64(len(values))
 	}
 	if mean == 0 {
 		return 1, 0
@@ -95,43 +96,43 @@
 	return busiest / mean, mean
 }
 
-func (r *Run) readControl() (by map[string]map[string]uint64) {
-	by = map[string]map[string]uint64{}
+func (r *Run) controlBytes() (byRouter map[string]map[string]uint64) {
+	byRouter = map[string]map[string]uint64{}
 	for _, router := range r.fleet.Routers() {
-		kinds := map[string]uint64{}
+		byKind := map[string]uint64{}
 		for _, k := range meter.Kinds {
 			sent, received := router.Meter().Bytes(k)
-			kinds[string(k)] = sent + received
+			byKind[string(k)] = sent + received
 		}
-		by[router.Callers()] = kinds
+		byRouter[router.Callers()] = byKind
 	}
-	return by
+	return byRouter
 }
 
-func (r *Run) markControl() {
-	r.baseline = r.readControl()
-	r.attempts = r.readAttempts()
+func (r *Run) recordBaseline() {
+	r.controlBaseline = r.controlBytes()
+	r.attemptsBaseline = r.totalAttempts()
 }
 
-func (r *Run) readAttempts() (n uint64) {
+func (r *Run) totalAttempts() (n uint64) {
 	for _, router := range r.fleet.Routers() {
 		n += router.Attempts()
 	}
 	return n
 }
 
-// control reports the router that spent most.
-func (r *Run) control() {
+// finishControl records the attempts per request, and the control traffic of the router that used the most.
+func (r *Run) finishControl() {
 	seconds := (r.plan.Duration - r.plan.Warmup).Seconds()
-	r.figures.mu.Lock()
-	defer r.figures.mu.Unlock()
-	report := &r.figures.report
-	asked := float64(report.Requests + report.Calls)
-	report.AttemptsPerRequest = float64(r.readAttempts()-r.attempts) / max(asked, 1)
-	for name, kinds := range r.readControl() {
+	r.stats.mu.Lock()
+	defer r.stats.mu.Unlock()
+	report := &r.stats.report
+	requests := float64(report.Requests + report.Calls)
+	report.AttemptsPerRequest = float64(r.totalAttempts()-r.attemptsBaseline) / max(requests, 1)
+	for name, byKind := range r.controlBytes() {
 		rates, sum := map[string]float64{}, 0.0
-		for k, n := range kinds {
-			rates[k] = float64(n-r.baseline[name][k]) / seconds
+		for k, n := range byKind {
+			rates[k] = float64(n-r.controlBaseline[name][k]) / seconds
 			sum += rates[k]
 		}
 		if sum > report.ControlBytesSum {
