--- a/io/configuration/doc.go
+++ b/io/configuration/doc.go
@@ -1,2 +1,2 @@
-// Package configuration follows the configuration on the platform's log and keeps what is in force.
+// Package configuration follows the configuration stream of the platform's log and holds the configuration in force.
 package configuration
--- a/io/configuration/follower.go
+++ b/io/configuration/follower.go
@@ -15,57 +15,57 @@
 	"savoryfall/io/platformlog"
 )
 
-// Stream is the stream of the log that carries the configuration.
+// Stream is the name of the log stream that carries the configuration.
 const Stream = "configuration"
 
 const (
-	pageRecords = 500
-	longPoll    = 20 * time.Second
-	readTimeout = 30 * time.Second
-	maxRetry    = 2 * time.Second
-	keptRecords = 1024
+	maxPageRecords  = 500
+	longPollWait    = 20 * time.Second
+	readTimeout     = 30 * time.Second
+	maxRetryDelay   = 2 * time.Second
+	retainedRecords = 1024
 )
 
-// Log is what the follower needs of the log service.
+// Log is the part of the log service's client that the follower uses.
 type Log interface {
 	Append(ctx context.Context, stream string, data []byte) (offset int64, err error)
 	Read(ctx context.Context, stream string, from int64, max int, wait time.Duration) (p platformlog.Page, err error)
 }
 
-// Peers are asked for a snapshot when the log cannot give the configuration.
+// Peers fetches a snapshot of the configuration from another router when the log is unavailable.
 type Peers interface {
 	Snapshot(ctx context.Context) (c *inforce.Configuration, err error)
 }
 
-// Follower keeps the configuration in force; it is fed by the log, and by peers that heard of a record sooner.
+// Follower holds the configuration in force. It gets records from the log, and from peers that read them earlier.
 type Follower struct {
-	log       Log
-	peers     Peers
-	logger    log.Logger
-	current   atomic.Pointer[inforce.Configuration]
-	mu        sync.Mutex
-	records   map[int64][]byte
-	listeners []func(*inforce.Configuration)
-	snapshot  snapshotState
-	appliedAt time.Time
-	source    string
-	ready     atomic.Bool
-	synced    bool
-	cancel    context.CancelFunc
-	done      chan struct{}
-}
-
-// New makes a follower that has nothing in force yet.
+	log         Log
+	peers       Peers
+	logger      log.Logger
+	current     atomic.Pointer[inforce.Configuration]
+	mu          sync.Mutex
+	records     map[int64][]byte
+	listeners   []func(*inforce.Configuration)
+	snapshot    snapshotState
+	appliedAt   time.Time
+	source      string
+	ready       atomic.Bool
+	initialized bool
+	cancel      context.CancelFunc
+	done        chan struct{}
+}
+
+// New returns a follower with an empty configuration.
 func New(l Log, logger log.Logger) *Follower {
 	f := &Follower{log: l, logger: logger, records: map[int64][]byte{}}
 	f.current.Store(&inforce.Configuration{})
 	return f
 }
 
-// Use names the peers to ask when the log is down.
+// Use sets the peers to ask for a snapshot when the log is unavailable. It must be called before Start.
 func (f *Follower) Use(p Peers) { f.peers = p }
 
-// Listen calls the function with each new configuration, in order, and once with the present one.
+// Listen registers a function that is called with the current configuration at once, and then with each new one, in order.
 func (f *Follower) Listen(listener func(*inforce.Configuration)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,20 +73,20 @@
 	listener(f.current.Load())
 }
 
-// Current is the configuration in force.
+// Current returns the configuration in force.
 func (f *Follower) Current() *inforce.Configuration { return f.current.Load() }
 
-// Ready tells whether a configuration was recovered; until then nothing is served.
+// Ready reports whether a configuration was recovered; until then the router serves no requests.
 func (f *Follower) Ready() bool { return f.ready.Load() }
 
-// AppliedAt is when the newest record was applied, and Source who brought it: the log or a peer.
+// AppliedAt returns when the newest record was applied, and whether it came from the log or from a peer.
 func (f *Follower) AppliedAt() (at time.Time, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.appliedAt, f.source
 }
 
-// Start follows in the background until Stop.
+// Start follows the stream in the background until Stop is called.
 func (f *Follower) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Stop ends the following; what is in force stays readable.
+// Stop stops following the stream. The configuration in force can still be read.
 func (f *Follower) Stop(context.Context) error {
 	f.cancel()
 	<-f.done
@@ -106,12 +106,12 @@
 }
 
 func (f *Follower) run(ctx context.Context) {
-	wait := backoff.NewExponentialBackOff()
-	wait.MaxInterval = maxRetry
+	retry := backoff.NewExponentialBackOff()
+	retry.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
-		err := f.round(ctx)
+		err := f.step(ctx)
 		if err == nil {
-			wait.Reset()
+			retry.Reset()
 			continue
 		}
 		if ctx.Err() != nil {
@@ -120,14 +120,14 @@
 		_ = f.logger.Log("event", "configurationBehind", "next", f.Current().Next(), "err", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
 
-func (f *Follower) round(ctx context.Context) (err error) {
-	if !f.synced {
-		return f.recover(ctx)
+func (f *Follower) step(ctx context.Context) (err error) {
+	if !f.initialized {
+		return f.initialize(ctx)
 	}
 	return f.follow(ctx)
 }
@@ -135,62 +135,62 @@
 func (f *Follower) follow(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	p, err := f.log.Read(ctx, Stream, f.Current().Next(), pageRecords, longPoll)
+	p, err := f.log.Read(ctx, Stream, f.Current().Next(), maxPageRecords, longPollWait)
 	var trimmed platformlog.TrimmedError
 	if errors.As(err, &trimmed) {
-		f.synced = false
+		f.initialized = false
 	}
 	if err != nil {
 		return err
 	}
 	for _, r := range p.Records {
-		f.offer(r.Offset, r.Data, r.At, sourceLog)
+		f.applyRecord(r.Offset, r.Data, r.At, sourceLog)
 	}
 	return nil
 }
 
-// Where a record came from.
+// Sources of a record.
 const (
 	sourceLog  = "log"
 	sourcePeer = "peer"
 )
 
-// Offer takes a record that a peer had sooner than the log told this router.
+// Offer applies a record that a peer sent before this router read it from the log.
 func (f *Follower) Offer(offset int64, data []byte) {
 	if f.Ready() {
-		f.offer(offset, data, time.Now(), sourcePeer)
+		f.applyRecord(offset, data, time.Now(), sourcePeer)
 	}
 }
 
-func (f *Follower) offer(offset int64, data []byte, at time.Time, source string) {
+func (f *Follower) applyRecord(offset int64, data []byte, at time.Time, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.snapshot.see(data, at)
+	f.snapshot.observe(data, at)
 	before := f.current.Load()
 	next, err := before.Apply(offset, data)
 	if err != nil || next == before {
 		return
 	}
-	f.keep(offset, data)
+	f.retainRecord(offset, data)
 	f.appliedAt, f.source = time.Now(), source
-	f.put(next)
+	f.publish(next)
 	_ = f.logger.Log("event", "configurationApplied", "offset", offset, "note", next.Current(),
 		"digest", next.Digest(), "source", source, "logMs", f.appliedAt.Sub(at).Milliseconds())
 }
 
-func (f *Follower) put(c *inforce.Configuration) {
+func (f *Follower) publish(c *inforce.Configuration) {
 	f.current.Store(c)
 	for _, listener := range f.listeners {
 		listener(c)
 	}
 }
 
-func (f *Follower) keep(offset int64, data []byte) {
+func (f *Follower) retainRecord(offset int64, data []byte) {
 	f.records[offset] = data
-	delete(f.records, offset-keptRecords)
+	delete(f.records, offset-retainedRecords)
 }
 
-// Records are the raw records from the offset on that are still at hand, for a peer that is behind.
+// Records returns the retained raw records from the offset on, at most max, for a peer that is behind.
 func (f *Follower) Records(from int64, max int) (records [][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,14 +204,14 @@
 	return records
 }
 
-// recover finds the newest configuration for a VM that has nothing: from the log's own records, a snapshot among
-// them where the first notes are gone already, or in an outage of the log from a peer.
-func (f *Follower) recover(ctx context.Context) (err error) {
+// initialize recovers the configuration from the log or, if that fails, from a snapshot of a peer. If the first notes are
+// trimmed, the log's records include a snapshot that covers them.
+func (f *Follower) initialize(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "recover configuration")
 	found, logErr := f.recoverFromLog(ctx)
 	if logErr == nil {
 		f.adopt(found, sourceLog)
-		f.synced = true
+		f.initialized = true
 		return nil
 	}
 	if f.peers == nil {
@@ -222,17 +222,17 @@
 		return errors.Join(logErr, err)
 	}
 	f.adopt(found, sourcePeer)
-	f.synced = true
+	f.initialized = true
 	return nil
 }
 
-// adopt never goes back: what was in force once stays in force.
+// adopt puts a recovered configuration in force, unless the current one is newer.
 func (f *Follower) adopt(c *inforce.Configuration, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.Next() >= f.current.Load().Next() {
 		f.appliedAt, f.source = time.Now(), source
-		f.put(c)
+		f.publish(c)
 	}
 	f.ready.Store(true)
 	_ = f.logger.Log("event", "configurationRecovered", "next", c.Next(), "note", c.Current(), "digest", c.Digest(), "source", source)
@@ -246,8 +246,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range records {
-		f.snapshot.see(r.Data, r.At)
-		f.keep(r.Offset, r.Data)
+		f.snapshot.observe(r.Data, r.At)
+		f.retainRecord(r.Offset, r.Data)
 	}
 	return c, nil
 }
--- a/io/configuration/recovery.go
+++ b/io/configuration/recovery.go
@@ -10,26 +10,27 @@
 	"savoryfall/io/platformlog"
 )
 
-// NoSnapshotError says that the log has lost records that no snapshot covers.
+// NoSnapshotError reports that the log has trimmed records that no snapshot covers.
 type NoSnapshotError struct{ First int64 }
 
 func (e NoSnapshotError) Error() string {
-	return fmt.Sprintf("the log has trimmed the notes before offset %d, and no snapshot on it covers them", e.First)
+	return fmt.Sprintf("notes before offset %d were trimmed from the log, and no snapshot on the log covers them", e.First)
 }
 
-// Recover folds what the log still keeps, from its newest whole snapshot on; records are all that were read.
+// Recover builds the configuration from the newest complete snapshot on the log and the records after it. It returns all
+// records that it read.
 func Recover(ctx context.Context, l Log) (c *inforce.Configuration, records []platformlog.Record, err error) {
 	defer annotate.Error(&err, "recover configuration from the log")
 	first, records, err := readAll(ctx, l)
 	if err != nil {
 		return nil, nil, err
 	}
-	var snapshots inforce.Recovery
+	var assembler inforce.Recovery
 	for _, r := range records {
-		snapshots.Read(r.Data)
+		assembler.Read(r.Data)
 	}
 	c = &inforce.Configuration{}
-	if best := snapshots.Best(); best != nil {
+	if best := assembler.Best(); best != nil {
 		c = best
 	}
 	if c.Next() < first {
@@ -44,11 +45,11 @@
 	return c, records, nil
 }
 
-// readAll starts anew when the log trims records while they are being read.
+// readAll reads all records of the stream. It starts over when the log trims records while they are being read.
 func readAll(ctx context.Context, l Log) (first int64, records []platformlog.Record, err error) {
 	from := int64(0)
 	for {
-		p, err := l.Read(ctx, Stream, from, pageRecords, 0)
+		p, err := l.Read(ctx, Stream, from, maxPageRecords, 0)
 		var trimmed platformlog.TrimmedError
 		if errors.As(err, &trimmed) {
 			first, from, records = trimmed.First, trimmed.First, nil
--- a/io/configuration/snapshots.go
+++ b/io/configuration/snapshots.go
@@ -10,49 +10,51 @@
 	"savoryfall/core/inforce"
 )
 
-// snapshotState is what the stream shows of the snapshots on it.
+// snapshotState tracks the newest snapshot on the stream and the notes after it.
 type snapshotState struct {
-	newest time.Time
-	oldest time.Time
-	since  int
+	newestSnapshot time.Time
+	firstNote      time.Time
+	notesSince     int
 }
 
-func (s *snapshotState) see(data []byte, at time.Time) {
+func (s *snapshotState) observe(data []byte, at time.Time) {
 	if inforce.IsSnapshot(data) {
-		s.newest, s.since = at, 0
+		s.newestSnapshot, s.notesSince = at, 0
 		return
 	}
-	if s.oldest.IsZero() {
-		s.oldest = at
+	if s.firstNote.IsZero() {
+		s.firstNote = at
 	}
-	s.since++
+	s.notesSince++
 }
 
 const (
-	// snapshotsPerRetention keeps several snapshots on the log, so that one that is lost or broken does no harm.
+	// snapshotsPerRetention is the number of snapshots written per retention period. With several on the log, one that is lost
+	// or damaged does no harm.
 	snapshotsPerRetention = 4
-	// snapshotRecords bounds the tail that a new VM has to fold.
-	snapshotRecords = 2000
+	// maxNotesSince bounds the number of notes that a new VM has to apply after the newest snapshot.
+	maxNotesSince = 2000
 )
 
-// SnapshotDue tells whether the stream needs a snapshot: before the notes that no snapshot covers can expire.
+// SnapshotDue reports whether a snapshot must be written now. One is due long before notes that no snapshot covers can expire.
 func (f *Follower) SnapshotDue(now time.Time, retention time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.Ready() || f.snapshot.since == 0 && now.Sub(f.snapshot.newest) < retention/2 {
+	if !f.Ready() || f.snapshot.notesSince == 0 && now.Sub(f.snapshot.newestSnapshot) < retention/2 {
 		return false
 	}
-	last := f.snapshot.newest
+	last := f.snapshot.newestSnapshot
 	if last.IsZero() {
-		last = f.snapshot.oldest
+		last = f.snapshot.firstNote
 	}
 	if last.IsZero() {
 		return false
 	}
-	return f.snapshot.since >= snapshotRecords || now.Sub(last) > retention/snapshotsPerRetention
+	return f.snapshot.notesSince >= maxNotesSince || now.Sub(last) > retention/snapshotsPerRetention
 }
 
-// WriteSnapshot appends the configuration in force to its own stream; twice does no harm.
+// WriteSnapshot appends a snapshot of the configuration in force to the configuration stream. Concurrent or repeated writes do
+// no harm.
 func (f *Follower) WriteSnapshot(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "write snapshot")
 	data, err := f.Current().Snapshot()
