--- a/io/leases/doc.go
+++ b/io/leases/doc.go
@@ -1,2 +1,2 @@
-// Package leases keeps leases on the platform's log, with offsets as fencing numbers.
+// Package leases acquires and renews leases through a stream of the platform's log, whose offsets serve as fencing tokens.
 package leases
--- a/io/leases/manager.go
+++ b/io/leases/manager.go
@@ -14,185 +14,185 @@
 	"savoryfall/io/platformlog"
 )
 
-// Stream is the stream of the log that carries the leases.
+// Stream is the name of the log stream that carries the leases.
 const Stream = "leases"
 
 const (
-	pageRecords   = 500
-	longPoll      = 20 * time.Second
-	readTimeout   = 30 * time.Second
-	appendTimeout = 2 * time.Second
-	maxRetry      = time.Second
-	steps         = 10
+	maxPageRecords = 500
+	longPollWait   = 20 * time.Second
+	readTimeout    = 30 * time.Second
+	appendTimeout  = 2 * time.Second
+	maxRetryDelay  = time.Second
+	stepsPerTerm   = 10
 )
 
-// Log is what the keeper needs of the log service.
+// Log is the part of the log service's client that the manager uses.
 type Log interface {
 	Append(ctx context.Context, stream string, data []byte) (offset int64, err error)
 	Read(ctx context.Context, stream string, from int64, max int, wait time.Duration) (p platformlog.Page, err error)
 }
 
-// Keeper holds the leases of the duties that this router shall do.
-type Keeper struct {
-	log     Log
-	logger  log.Logger
-	self    string
-	terms   lease.Terms
-	mine    func(duty string) bool
-	mu      sync.Mutex
-	table   lease.Table
-	clocks  map[string]*lease.Clock
-	fresh   bool
-	cancel  context.CancelFunc
-	running background.Group
+// Manager acquires and renews the leases of the duties that are assigned to this router.
+type Manager struct {
+	log      Log
+	logger   log.Logger
+	self     string
+	terms    lease.Terms
+	assigned func(duty string) bool
+	mu       sync.Mutex
+	table    lease.Table
+	trackers map[string]*lease.Clock
+	caughtUp bool
+	cancel   context.CancelFunc
+	tasks    background.Group
 }
 
-// New makes a keeper; mine tells which duties this router shall try to hold.
-func New(l Log, self string, terms lease.Terms, mine func(duty string) bool, logger log.Logger) *Keeper {
-	return &Keeper{log: l, self: self, terms: terms, mine: mine, logger: logger, clocks: map[string]*lease.Clock{}}
+// New returns a manager; assigned reports which duties this router should try to hold.
+func New(l Log, self string, terms lease.Terms, assigned func(duty string) bool, logger log.Logger) *Manager {
+	return &Manager{log: l, self: self, terms: terms, assigned: assigned, logger: logger, trackers: map[string]*lease.Clock{}}
 }
 
-// Watch begins to look after a duty.
-func (k *Keeper) Watch(duty string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.clocks[duty] == nil {
-		k.clocks[duty] = lease.NewClock(k.self, duty, k.terms)
+// Watch starts tracking the lease of a duty.
+func (m *Manager) Watch(duty string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.trackers[duty] == nil {
+		m.trackers[duty] = lease.NewClock(m.self, duty, m.terms)
 	}
 }
 
-// MayAct tells whether this router may act for the duty right now, and under which fencing number.
-func (k *Keeper) MayAct(duty string) (fence int64, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	c := k.clocks[duty]
+// MayAct reports whether this router may act for the duty now, and with which fencing token.
+func (m *Manager) MayAct(duty string) (fence int64, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.trackers[duty]
 	if c == nil {
 		return 0, false
 	}
 	return c.MayAct(time.Now())
 }
 
-// Start reads and renews in the background until Stop.
-func (k *Keeper) Start(context.Context) error {
+// Start follows the stream and renews leases in the background until Stop is called.
+func (m *Manager) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	k.cancel = cancel
-	k.running.Go(func() { k.tail(ctx) })
-	k.running.Go(func() {
-		background.Every(ctx, k.terms.Term/steps, func(now time.Time) { k.step(ctx, now) })
+	m.cancel = cancel
+	m.tasks.Go(func() { m.follow(ctx) })
+	m.tasks.Go(func() {
+		background.Every(ctx, m.terms.Term/stepsPerTerm, func(now time.Time) { m.appendDue(ctx, now) })
 	})
 	return nil
 }
 
-// Stop gives the leases back, so that another router need not wait for their term to end.
-func (k *Keeper) Stop(ctx context.Context) error {
-	k.cancel()
-	k.running.Stop()
+// Stop releases the held leases, so that other routers need not wait until they expire.
+func (m *Manager) Stop(ctx context.Context) error {
+	m.cancel()
+	m.tasks.Stop()
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	for _, r := range k.releases() {
-		_, err := k.log.Append(ctx, Stream, r.Encode())
+	for _, r := range m.releaseAll() {
+		_, err := m.log.Append(ctx, Stream, r.Encode())
 		if err != nil {
-			_ = k.logger.Log("event", "leaseNotReleased", "duty", r.Duty, "err", err)
+			_ = m.logger.Log("event", "leaseNotReleased", "duty", r.Duty, "err", err)
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) releases() (records []lease.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for duty, c := range k.clocks {
+func (m *Manager) releaseAll() (records []lease.Record) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for duty, c := range m.trackers {
 		if c.Holds() {
-			records = append(records, lease.Record{Kind: lease.KindRelease, Duty: duty, Holder: k.self, Fence: c.Seen().Fence})
+			records = append(records, lease.Record{Kind: lease.KindRelease, Duty: duty, Holder: m.self, Fence: c.Seen().Fence})
 			c.Released()
 		}
 	}
 	return records
 }
 
-func (k *Keeper) tail(ctx context.Context) {
-	wait := backoff.NewExponentialBackOff()
-	wait.MaxInterval = maxRetry
+func (m *Manager) follow(ctx context.Context) {
+	retry := backoff.NewExponentialBackOff()
+	retry.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
-		err := k.readPage(ctx)
+		err := m.readPage(ctx)
 		if err == nil {
-			wait.Reset()
+			retry.Reset()
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		_ = k.logger.Log("event", "leasesBehind", "err", err)
+		_ = m.logger.Log("event", "leasesBehind", "err", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
 
-func (k *Keeper) readPage(ctx context.Context) (err error) {
+func (m *Manager) readPage(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	k.mu.Lock()
-	next, wait := k.table.Next(), time.Duration(0)
-	if k.fresh {
-		wait = longPoll
+	m.mu.Lock()
+	next, wait := m.table.Next(), time.Duration(0)
+	if m.caughtUp {
+		wait = longPollWait
 	}
-	k.mu.Unlock()
-	p, err := k.log.Read(ctx, Stream, next, pageRecords, wait)
+	m.mu.Unlock()
+	p, err := m.log.Read(ctx, Stream, next, maxPageRecords, wait)
 	var trimmed platformlog.TrimmedError
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if errors.As(err, &trimmed) {
-		k.table.SkipTo(trimmed.First)
+		m.table.SkipTo(trimmed.First)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	for _, r := range p.Records {
-		k.table.Apply(r.Offset, r.Data)
+		m.table.Apply(r.Offset, r.Data)
 	}
-	k.fresh = k.table.Next() >= p.Next
-	k.observe()
+	m.caughtUp = m.table.Next() >= p.Next
+	m.updateTrackers()
 	return nil
 }
 
-// observe is called only when the stream was read to its end: a holder seen in an old record may be long gone.
-func (k *Keeper) observe() {
-	if !k.fresh {
+// updateTrackers updates the trackers only when the stream was read to its end, since the holder in an old record may be gone.
+func (m *Manager) updateTrackers() {
+	if !m.caughtUp {
 		return
 	}
 	now := time.Now()
-	for duty, c := range k.clocks {
-		l, known := k.table.Lease(duty)
+	for duty, c := range m.trackers {
+		l, known := m.table.Lease(duty)
 		held := c.Holds()
 		c.Observe(l, known, now)
 		if c.Holds() != held {
-			_ = k.logger.Log("event", "lease", "duty", duty, "held", !held, "holder", l.Holder, "fence", l.Fence)
+			_ = m.logger.Log("event", "lease", "duty", duty, "held", !held, "holder", l.Holder, "fence", l.Fence)
 		}
 	}
 }
 
-func (k *Keeper) step(ctx context.Context, now time.Time) {
-	for _, r := range k.wanted(now) {
+func (m *Manager) appendDue(ctx context.Context, now time.Time) {
+	for _, r := range m.dueRecords(now) {
 		ctx, cancel := context.WithTimeout(ctx, appendTimeout)
-		_, err := k.log.Append(ctx, Stream, r.Encode())
+		_, err := m.log.Append(ctx, Stream, r.Encode())
 		cancel()
 		if err != nil {
-			_ = k.logger.Log("event", "leaseNotWritten", "duty", r.Duty, "kind", r.Kind, "err", err)
+			_ = m.logger.Log("event", "leaseNotWritten", "duty", r.Duty, "kind", r.Kind, "err", err)
 		}
 	}
 }
 
-func (k *Keeper) wanted(now time.Time) (records []lease.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.fresh {
-		k.observe()
+func (m *Manager) dueRecords(now time.Time) (records []lease.Record) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.caughtUp {
+		m.updateTrackers()
 	}
-	for duty, c := range k.clocks {
-		if !c.Holds() && !k.mine(duty) {
+	for duty, c := range m.trackers {
+		if !c.Holds() && !m.assigned(duty) {
 			continue
 		}
 		if r, ok := c.Wanted(now); ok {
