--- a/io/vmlist/client.go
+++ b/io/vmlist/client.go
@@ -10,9 +10,9 @@
 	"savoryfall/core/annotate"
 )
 
-const maxAnswer = 16 << 20
+const maxResponseBytes = 16 << 20
 
-// VM is one entry of the list.
+// VM is an entry of the VM list.
 type VM struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"`
@@ -22,9 +22,9 @@
 }
 
 const (
-	// RoleRouter marks a VM of the fleet itself; its address is the one its peers call.
+	// RoleRouter is the role of a VM that runs a router; its address is the one for peers.
 	RoleRouter = "router"
-	// RoleEndpoint marks a VM that an endpoint of the same name runs on.
+	// RoleEndpoint is the role of a VM that runs an endpoint of the same name.
 	RoleEndpoint = "endpoint"
 )
 
@@ -34,20 +34,21 @@
 	client *http.Client
 }
 
-// New makes a client of the list at the base URL.
+// New returns a client of the list at the base URL.
 func New(base string, client *http.Client) *List {
 	return &List{base: base, client: client}
 }
 
-// Read brings the list, which may lag; an unchanged list is answered by its tag and costs few bytes.
-func (l *List) Read(ctx context.Context, tag string) (vms []VM, newTag string, changed bool, err error) {
+// Read fetches the list, which may be out of date. If the list still has the given ETag, the server sends no body and changed is
+// false.
+func (l *List) Read(ctx context.Context, etag string) (vms []VM, newETag string, changed bool, err error) {
 	defer annotate.Error(&err, "read VM list")
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, l.base+"/v1/vms", nil)
 	if err != nil {
 		return nil, "", false, err
 	}
-	if tag != "" {
-		r.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		r.Header.Set("If-None-Match", etag)
 	}
 	resp, err := l.client.Do(r)
 	if err != nil {
@@ -55,11 +56,11 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified {
-		return nil, tag, false, nil
+		return nil, etag, false, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, "", false, fmt.Errorf("the VM list answered %d", resp.StatusCode)
+		return nil, "", false, fmt.Errorf("VM list service responded with status %d", resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&vms)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&vms)
 	return vms, resp.Header.Get("Etag"), true, err
 }
--- a/io/vmlist/doc.go
+++ b/io/vmlist/doc.go
@@ -1,2 +1,2 @@
-// Package vmlist speaks to the platform's list of live and leaving VMs over HTTP.
+// Package vmlist is an HTTP client of the platform's VM list, which holds the live and the leaving VMs.
 package vmlist
