--- a/io/tracing/doc.go
+++ b/io/tracing/doc.go
@@ -1,2 +1,2 @@
-// Package tracing sends the spans of one process to a collector or to a file.
+// Package tracing exports the OpenTelemetry spans of one process to a collector or to a file.
 package tracing
--- a/io/tracing/tracing.go
+++ b/io/tracing/tracing.go
@@ -15,13 +15,13 @@
 	"savoryfall/core/annotate"
 )
 
-// Tracing makes spans; without a place to send them it makes none that cost anything.
+// Tracing creates and exports spans. Without a destination no span is sampled.
 type Tracing struct {
 	provider *trace.TracerProvider
 	file     *os.File
 }
 
-// New sends spans to the OTLP URL or appends them to the file; both may be empty.
+// New exports spans to the OTLP URL, or appends them to the file if the URL is empty. If both are empty, spans are discarded.
 func New(ctx context.Context, vm, otlpURL, file string) (t *Tracing, err error) {
 	defer annotate.Error(&err, "set up traces")
 	t = &Tracing{}
@@ -52,16 +52,16 @@
 	return t, nil
 }
 
-// Tracer makes the spans of the fleet.
+// Tracer returns the tracer for spans of savoryfall.
 func (t *Tracing) Tracer() api.Tracer { return t.provider.Tracer("savoryfall") }
 
-// Propagator carries a trace in the header traceparent.
+// Propagator returns a propagator that carries the trace context in the traceparent header.
 func Propagator() propagation.TextMapPropagator { return propagation.TraceContext{} }
 
-// Start does nothing; spans are made from the first request on.
+// Start does nothing; New has already set up the exporter.
 func (t *Tracing) Start(context.Context) error { return nil }
 
-// Stop sends what is left.
+// Stop exports the remaining spans and closes the file.
 func (t *Tracing) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop traces")
 	err = t.provider.Shutdown(ctx)
