--- a/core/account/account.go
+++ b/core/account/account.go
@@ -19,18 +19,18 @@
 
 // Read reads an account from its TOML table and reports invalid values to the table.
 func Read(t *tomldoc.Table) (a Account) {
-	a.name = t.Required("name")
-	a.keyDigest = t.Required("keyDigest")
-	a.weight = t.Real("weight", 1, 0.001, 1000)
+	a.name = t.RequiredString("name")
+	a.keyDigest = t.RequiredString("keyDigest")
+	a.weight = t.Float("weight", 1, 0.001, 1000)
 	sum, err := hex.DecodeString(strings.TrimPrefix(a.keyDigest, digestPrefix))
 	if a.keyDigest != "" && (err != nil || len(sum) != sha256.Size || !strings.HasPrefix(a.keyDigest, digestPrefix)) {
-		t.Fault("keyDigest", "something else", digestPrefix+" and the 64 hexadecimal digits of the key's SHA-256")
+		t.AddError("keyDigest", "something else", digestPrefix+" and the 64 hexadecimal digits of the key's SHA-256")
 	}
 	return a
 }
 
-// Digest returns the digest of a bearer key that a release note holds in place of the key.
-func Digest(key string) string {
+// DigestKey returns the digest of a bearer key that a release note holds in place of the key.
+func DigestKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return digestPrefix + hex.EncodeToString(sum[:])
 }
--- a/core/inforce/apply.go
+++ b/core/activeconfig/apply.go
@@ -1,4 +1,4 @@
-package inforce
+package activeconfig
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 
 	"savoryfall/core/account"
 	"savoryfall/core/endpoint"
-	"savoryfall/core/note"
+	"savoryfall/core/releasenote"
 	"savoryfall/core/service"
 	"savoryfall/core/version"
 )
@@ -53,7 +53,7 @@
 	if json.Unmarshal(data, &r) != nil || r.Kind != recordNote {
 		return next, nil
 	}
-	n, err := note.Parse("note", []byte(r.Text))
+	n, err := releasenote.Parse("note", []byte(r.Text))
 	if err != nil {
 		return next, nil
 	}
@@ -75,7 +75,7 @@
 
 // applyNote checks and applies a note. A note id is handled only once: when a publisher retries because it lost the
 // response, the first result stands.
-func (c *Configuration) applyNote(offset int64, n *note.Note) {
+func (c *Configuration) applyNote(offset int64, n *releasenote.Note) {
 	if _, known := c.notes[n.ID()]; known {
 		return
 	}
@@ -95,29 +95,29 @@
 }
 
 // cloneMapsFor copies the maps that the note touches, because older configurations that share them may still be in use.
-func (c *Configuration) cloneMapsFor(n *note.Note) {
+func (c *Configuration) cloneMapsFor(n *releasenote.Note) {
 	c.items = cloneEntries(c.items)
 	kinds := map[string]bool{}
-	for _, i := range n.Touched() {
+	for _, i := range n.Items() {
 		kinds[i.Kind()] = true
 	}
 	c.cloneMapsOfKinds(kinds)
 }
 
 func (c *Configuration) cloneMapsOfKinds(kinds map[string]bool) {
-	if kinds[note.KindModels] {
+	if kinds[releasenote.KindModels] {
 		c.models = maps.Clone(c.models)
 	}
-	if kinds[note.KindAccounts] {
+	if kinds[releasenote.KindAccounts] {
 		c.accounts = maps.Clone(c.accounts)
 	}
-	if kinds[note.KindServices] {
+	if kinds[releasenote.KindServices] {
 		c.services = maps.Clone(c.services)
 	}
-	if kinds[note.KindVersions] || kinds[note.KindAdapters] {
+	if kinds[releasenote.KindVersions] || kinds[releasenote.KindAdapters] {
 		c.versions = maps.Clone(c.versions)
 	}
-	if kinds[note.KindEndpoints] {
+	if kinds[releasenote.KindEndpoints] {
 		c.endpoints = maps.Clone(c.endpoints)
 		c.nameByAddress = maps.Clone(c.nameByAddress)
 	}
@@ -163,16 +163,16 @@
 	}
 }
 
-func (c *Configuration) putItem(offset int64, noteID string, i note.Item) {
+func (c *Configuration) putItem(offset int64, noteID string, i releasenote.Item) {
 	c.removeItem(i.Key())
 	c.items[i.Key()] = entry{item: i, offset: offset, noteID: noteID}
 	c.digest += itemDigest(i)
 	c.indexItem(i)
 }
 
-func (c *Configuration) withdrawItem(offset int64, noteID string, i note.Item) {
+func (c *Configuration) withdrawItem(offset int64, noteID string, i releasenote.Item) {
 	c.removeItem(i.Key())
-	c.items[i.Key()] = entry{item: note.NewItem(i.Kind(), i.Name(), nil), offset: offset, noteID: noteID, withdrawn: true}
+	c.items[i.Key()] = entry{item: releasenote.NewItem(i.Kind(), i.Name(), nil), offset: offset, noteID: noteID, withdrawn: true}
 }
 
 func (c *Configuration) removeItem(key string) {
@@ -182,34 +182,34 @@
 	}
 	c.digest -= itemDigest(old.item)
 	switch old.item.Kind() {
-	case note.KindModels:
+	case releasenote.KindModels:
 		delete(c.models, old.item.Name())
-	case note.KindAccounts:
+	case releasenote.KindAccounts:
 		delete(c.accounts, account.Read(old.item.Table()).KeyDigest())
-	case note.KindServices:
+	case releasenote.KindServices:
 		delete(c.services, old.item.Name())
-	case note.KindVersions, note.KindAdapters:
+	case releasenote.KindVersions, releasenote.KindAdapters:
 		delete(c.versions, old.item.Key())
-	case note.KindEndpoints:
+	case releasenote.KindEndpoints:
 		delete(c.nameByAddress, c.endpoints[old.item.Name()].Address())
 		delete(c.endpoints, old.item.Name())
 	}
 }
 
-func (c *Configuration) indexItem(i note.Item) {
+func (c *Configuration) indexItem(i releasenote.Item) {
 	switch i.Kind() {
-	case note.KindModels:
+	case releasenote.KindModels:
 		c.models[i.Name()] = true
-	case note.KindAccounts:
+	case releasenote.KindAccounts:
 		a := account.Read(i.Table())
 		c.accounts[a.KeyDigest()] = a
-	case note.KindServices:
+	case releasenote.KindServices:
 		c.services[i.Name()] = service.Read(i.Table())
-	case note.KindVersions:
+	case releasenote.KindVersions:
 		c.versions[i.Key()] = version.Read(i.Table())
-	case note.KindAdapters:
+	case releasenote.KindAdapters:
 		c.versions[i.Key()] = version.ReadAdapter(i.Table())
-	case note.KindEndpoints:
+	case releasenote.KindEndpoints:
 		e := endpoint.Read(i.Table())
 		c.endpoints[i.Name()] = e
 		c.nameByAddress[e.Address()] = e.Name()
--- a/core/inforce/apply_test.go
+++ b/core/activeconfig/apply_test.go
@@ -1,4 +1,4 @@
-package inforce_test
+package activeconfig_test
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"savoryfall/core/inforce"
-	"savoryfall/core/note"
+	"savoryfall/core/activeconfig"
+	"savoryfall/core/releasenote"
 )
 
 func TestMain(m *testing.M) {
@@ -45,19 +45,19 @@
 
 // recordsOf generates the records of the edits, and returns the parsed notes with them. Notes that do not parse are
 // skipped.
-func recordsOf(list []edit) (records [][]byte, notes []*note.Note) {
-	states := []*inforce.Configuration{{}}
+func recordsOf(list []edit) (records [][]byte, notes []*releasenote.Note) {
+	states := []*activeconfig.Configuration{{}}
 	for i, e := range list {
 		base := states[max(len(states)-1-e.lag, 0)]
 		text := noteText(fmt.Sprintf("note-%d", i), base, e)
-		parsed, err := note.Parse("note", []byte(text))
+		parsed, err := releasenote.Parse("note", []byte(text))
 		if err != nil {
 			continue
 		}
 		for range 1 + map[bool]int{true: 1}[e.republish] {
-			records = append(records, inforce.NoteRecord(text))
+			records = append(records, activeconfig.NoteRecord(text))
 			last := states[len(states)-1]
-			next, err := last.Apply(last.Next(), inforce.NoteRecord(text))
+			next, err := last.Apply(last.NextOffset(), activeconfig.NoteRecord(text))
 			if err != nil {
 				panic(err)
 			}
@@ -68,8 +68,8 @@
 	return records, notes
 }
 
-func noteText(id string, base *inforce.Configuration, e edit) string {
-	text := fmt.Sprintf("id = %q\nbasedOn = %q\n", id, base.Current())
+func noteText(id string, base *activeconfig.Configuration, e edit) string {
+	text := fmt.Sprintf("id = %q\nbasedOn = %q\n", id, base.CurrentNoteID())
 	withdrawn := ""
 	for _, i := range e.items {
 		name := fmt.Sprintf("m%d", i)
@@ -88,8 +88,8 @@
 	return text
 }
 
-func applyAll(t interface{ Fatalf(string, ...any) }, records [][]byte) *inforce.Configuration {
-	c := &inforce.Configuration{}
+func applyAll(t interface{ Fatalf(string, ...any) }, records [][]byte) *activeconfig.Configuration {
+	c := &activeconfig.Configuration{}
 	var err error
 	for o, data := range records {
 		c, err = c.Apply(int64(o), data)
@@ -101,7 +101,7 @@
 }
 
 // lostUpdate reports whether an accepted note touched an item that an accepted note newer than its base had changed.
-func lostUpdate(notes []*note.Note, accepted func(id string) bool) bool {
+func lostUpdate(notes []*releasenote.Note, accepted func(id string) bool) bool {
 	order := map[string]int{}
 	newest := map[string]int{}
 	for n, parsed := range notes {
@@ -112,7 +112,7 @@
 		if !ok {
 			base = -1
 		}
-		for _, i := range parsed.Touched() {
+		for _, i := range parsed.Items() {
 			if last, changed := newest[i.Key()]; changed && last > base {
 				return true
 			}
@@ -180,7 +180,7 @@
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		c, err := inforce.Restore(data)
+		c, err := activeconfig.Restore(data)
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
@@ -190,20 +190,20 @@
 				t.Fatalf("%v", err)
 			}
 		}
-		if c.Digest() != whole.Digest() || c.Next() != whole.Next() || c.Current() != whole.Current() {
-			t.Fatalf("from the snapshot %s at %d, from the start %s at %d", c.Digest(), c.Next(), whole.Digest(), whole.Next())
+		if c.Digest() != whole.Digest() || c.NextOffset() != whole.NextOffset() || c.CurrentNoteID() != whole.CurrentNoteID() {
+			t.Fatalf("from the snapshot %s at %d, from the start %s at %d", c.Digest(), c.NextOffset(), whole.Digest(), whole.NextOffset())
 		}
 	})
 }
 
 // A router that missed a record returns an error instead of applying the next one.
 func TestGapIsNotApplied(t *testing.T) {
-	c := &inforce.Configuration{}
-	same, err := c.Apply(1, inforce.NoteRecord("id = \"a\"\n[[added.models]]\nname = \"m\"\n"))
-	var gap inforce.GapError
+	c := &activeconfig.Configuration{}
+	same, err := c.Apply(1, activeconfig.NoteRecord("id = \"a\"\n[[added.models]]\nname = \"m\"\n"))
+	var gap activeconfig.GapError
 	assert.Assert(t, errors.As(err, &gap))
 	assert.Equal(t, gap.Want, int64(0))
-	assert.Equal(t, same.Next(), int64(0))
+	assert.Equal(t, same.NextOffset(), int64(0))
 }
 
 // A snapshot whose items do not match its digest is rejected.
@@ -211,7 +211,7 @@
 	records, _ := recordsOf([]edit{{items: []int{0}}})
 	data, err := applyAll(t, records).Snapshot()
 	assert.NilError(t, err)
-	_, err = inforce.Restore([]byte(strings.Replace(string(data), `"m0"`, `"m9"`, 1)))
+	_, err = activeconfig.Restore([]byte(strings.Replace(string(data), `"m0"`, `"m9"`, 1)))
 	assert.ErrorContains(t, err, "digest")
 }
 
@@ -221,23 +221,23 @@
 	records, _ := recordsOf([]edit{{items: []int{0}}, {items: []int{1}}})
 	data, err := applyAll(t, records).Snapshot()
 	assert.NilError(t, err)
-	whole, err := inforce.SnapshotRecords("one", data)
+	whole, err := activeconfig.SnapshotRecords("one", data)
 	assert.NilError(t, err)
-	broken, err := inforce.SnapshotRecords("two", []byte(strings.Repeat("x", inforce.PartBytes+1)))
+	broken, err := activeconfig.SnapshotRecords("two", []byte(strings.Repeat("x", activeconfig.PartBytes+1)))
 	assert.NilError(t, err)
-	var r inforce.Recovery
+	var r activeconfig.SnapshotAssembler
 	for _, rec := range [][]byte{broken[0], whole[0], broken[1], []byte("not JSON")} {
-		r.Read(rec)
+		r.Add(rec)
 	}
-	assert.Assert(t, r.Best() != nil)
-	assert.Equal(t, r.Best().Next(), int64(2))
+	assert.Assert(t, r.Newest() != nil)
+	assert.Equal(t, r.Newest().NextOffset(), int64(2))
 }
 
 // Each invalid reference is refused with a specific reason.
 func TestRefusals(t *testing.T) {
 	base := "id = \"base\"\n[[added.models]]\nname = \"m\"\n" +
 		"[[added.endpoints]]\nname = \"e\"\naddress = \"127.0.0.1:1\"\nfailureDomain = \"d\"\nmodels = [\"m\"]\n"
-	c := applyAll(t, [][]byte{inforce.NoteRecord(base)})
+	c := applyAll(t, [][]byte{activeconfig.NoteRecord(base)})
 	for _, tc := range []struct{ text, want string }{
 		{"[withdrawn]\nmodels = [\"gone\"]\n", "models/gone is changed or withdrawn, but is not in force"},
 		{"[[added.endpoints]]\nname = \"f\"\naddress = \"127.0.0.1:2\"\nfailureDomain = \"d\"\nmodels = [\"x\"]\n", `serves the model "x"`},
@@ -245,7 +245,7 @@
 		{"[withdrawn]\nmodels = [\"m\"]\n", `endpoint "e" serves it`},
 		{"[[added.versions]]\nmodel = \"x\"\nname = \"v\"\n", `the model "x", which is not in force`},
 	} {
-		n, err := note.Parse("note", []byte("id = \"next\"\nbasedOn = \"base\"\n"+tc.text))
+		n, err := releasenote.Parse("note", []byte("id = \"next\"\nbasedOn = \"base\"\n"+tc.text))
 		assert.NilError(t, err)
 		assert.Assert(t, strings.Contains(c.Check(n), tc.want), "%q", c.Check(n))
 	}
--- a/core/inforce/check.go
+++ b/core/activeconfig/check.go
@@ -1,16 +1,16 @@
-package inforce
+package activeconfig
 
 import (
 	"fmt"
 
 	"savoryfall/core/account"
 	"savoryfall/core/endpoint"
-	"savoryfall/core/note"
+	"savoryfall/core/releasenote"
 	"savoryfall/core/version"
 )
 
 // Check returns the reason why the note would be refused if it were published now, or "" if it would be accepted.
-func (c *Configuration) Check(n *note.Note) (refusal string) {
+func (c *Configuration) Check(n *releasenote.Note) (refusal string) {
 	if result, known := c.notes[n.ID()]; known {
 		return fmt.Sprintf("the id %q is taken by the note at offset %d", n.ID(), result.offset)
 	}
@@ -33,7 +33,7 @@
 const beforeFirst = -1
 
 // baseOffset returns the log offset of the note named by basedOn, or beforeFirst for a note without one.
-func (c *Configuration) baseOffset(n *note.Note) (offset int64, refusal string) {
+func (c *Configuration) baseOffset(n *releasenote.Note) (offset int64, refusal string) {
 	if n.BasedOn() == "" {
 		return beforeFirst, ""
 	}
@@ -46,8 +46,8 @@
 
 // checkConflicts refuses a note that touches an item which was changed after the note's base. Otherwise the later of
 // two concurrent publishers would silently overwrite the earlier one.
-func (c *Configuration) checkConflicts(n *note.Note, base int64) string {
-	for _, i := range n.Touched() {
+func (c *Configuration) checkConflicts(n *releasenote.Note, base int64) string {
+	for _, i := range n.Items() {
 		if e, ok := c.items[i.Key()]; ok && e.offset > base {
 			return fmt.Sprintf("%s was changed by note %q at offset %d, after the note that this one is based on",
 				i.Key(), e.noteID, e.offset)
@@ -56,13 +56,13 @@
 	return ""
 }
 
-func (c *Configuration) checkExistence(n *note.Note) string {
+func (c *Configuration) checkExistence(n *releasenote.Note) string {
 	for _, i := range n.Added() {
 		if c.inForce(i.Key()) {
 			return i.Key() + " is added, but is in force already"
 		}
 	}
-	for _, i := range append(append([]note.Item{}, n.Changed()...), n.Withdrawn()...) {
+	for _, i := range append(append([]releasenote.Item{}, n.Changed()...), n.Withdrawn()...) {
 		if !c.inForce(i.Key()) {
 			return i.Key() + " is changed or withdrawn, but is not in force"
 		}
@@ -87,12 +87,12 @@
 	return r.put[key] || r.c.inForce(key) && !r.withdrawn[key]
 }
 
-func (c *Configuration) checkReferences(n *note.Note) string {
+func (c *Configuration) checkReferences(n *releasenote.Note) string {
 	next := nextItems{c: c, withdrawn: map[string]bool{}, put: map[string]bool{}}
 	for _, i := range n.Withdrawn() {
 		next.withdrawn[i.Key()] = true
 	}
-	puts := append(append([]note.Item{}, n.Added()...), n.Changed()...)
+	puts := append(append([]releasenote.Item{}, n.Added()...), n.Changed()...)
 	for _, i := range puts {
 		next.put[i.Key()] = true
 	}
@@ -107,15 +107,15 @@
 	return next.checkDangling()
 }
 
-func (r nextItems) checkItem(i note.Item) string {
+func (r nextItems) checkItem(i releasenote.Item) string {
 	switch i.Kind() {
-	case note.KindEndpoints:
+	case releasenote.KindEndpoints:
 		return r.checkEndpoint(endpoint.Read(i.Table()))
-	case note.KindVersions, note.KindAdapters:
-		if v := version.Read(i.Table()); !r.inForce(note.KindModels, v.Model()) {
+	case releasenote.KindVersions, releasenote.KindAdapters:
+		if v := version.Read(i.Table()); !r.inForce(releasenote.KindModels, v.Model()) {
 			return fmt.Sprintf("%s is of the model %q, which is not in force", i.Key(), v.Model())
 		}
-	case note.KindAccounts:
+	case releasenote.KindAccounts:
 		a := account.Read(i.Table())
 		if other, taken := r.c.accounts[a.KeyDigest()]; taken && other.Name() != a.Name() {
 			return fmt.Sprintf("%s has the key of account %q", i.Key(), other.Name())
@@ -126,15 +126,15 @@
 
 func (r nextItems) checkEndpoint(e endpoint.Endpoint) string {
 	for _, m := range e.Models() {
-		if !r.inForce(note.KindModels, m) {
+		if !r.inForce(releasenote.KindModels, m) {
 			return fmt.Sprintf("endpoint %q serves the model %q, which is not in force", e.Name(), m)
 		}
 	}
-	if e.Service() != "" && !r.inForce(note.KindServices, e.Service()) {
+	if e.Service() != "" && !r.inForce(releasenote.KindServices, e.Service()) {
 		return fmt.Sprintf("endpoint %q belongs to the service %q, which is not in force", e.Name(), e.Service())
 	}
 	other, taken := r.c.nameByAddress[e.Address()]
-	if taken && other != e.Name() && !r.withdrawn[note.KindEndpoints+"/"+other] {
+	if taken && other != e.Name() && !r.withdrawn[releasenote.KindEndpoints+"/"+other] {
 		return fmt.Sprintf("endpoint %q has the address %s of endpoint %q", e.Name(), e.Address(), other)
 	}
 	return ""
@@ -146,16 +146,16 @@
 		return ""
 	}
 	for _, e := range r.c.endpoints {
-		key := note.KindEndpoints + "/" + e.Name()
+		key := releasenote.KindEndpoints + "/" + e.Name()
 		if r.withdrawn[key] || r.put[key] {
 			continue
 		}
 		for _, m := range e.Models() {
-			if r.withdrawn[note.KindModels+"/"+m] {
+			if r.withdrawn[releasenote.KindModels+"/"+m] {
 				return fmt.Sprintf("models/%s is withdrawn, but endpoint %q serves it", m, e.Name())
 			}
 		}
-		if r.withdrawn[note.KindServices+"/"+e.Service()] {
+		if r.withdrawn[releasenote.KindServices+"/"+e.Service()] {
 			return fmt.Sprintf("services/%s is withdrawn, but endpoint %q belongs to it", e.Service(), e.Name())
 		}
 	}
@@ -163,14 +163,14 @@
 }
 
 // checkDuplicates refuses two items of one note that use the same address or the same API key.
-func checkDuplicates(puts []note.Item) string {
+func checkDuplicates(puts []releasenote.Item) string {
 	seen := map[string]string{}
 	for _, i := range puts {
 		identity := ""
 		switch i.Kind() {
-		case note.KindEndpoints:
+		case releasenote.KindEndpoints:
 			identity = "address " + endpoint.Read(i.Table()).Address()
-		case note.KindAccounts:
+		case releasenote.KindAccounts:
 			identity = "key " + account.Read(i.Table()).KeyDigest()
 		default:
 			continue
--- a/core/inforce/configuration.go
+++ b/core/activeconfig/configuration.go
@@ -1,4 +1,4 @@
-package inforce
+package activeconfig
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"savoryfall/core/account"
 	"savoryfall/core/endpoint"
-	"savoryfall/core/note"
+	"savoryfall/core/releasenote"
 	"savoryfall/core/service"
 	"savoryfall/core/version"
 )
@@ -36,7 +36,7 @@
 // entry is the newest version of an item. Withdrawn items keep their entry, so that a note written before the
 // withdrawal is still detected as conflicting.
 type entry struct {
-	item      note.Item
+	item      releasenote.Item
 	offset    int64
 	noteID    string
 	withdrawn bool
@@ -47,23 +47,23 @@
 	refusal string
 }
 
-// Next returns the offset of the first record that is not applied yet.
-func (c *Configuration) Next() int64 { return c.next }
+// NextOffset returns the offset of the first record that is not applied yet.
+func (c *Configuration) NextOffset() int64 { return c.next }
 
-// Current returns the id of the newest accepted note.
-func (c *Configuration) Current() string { return c.currentNote }
+// CurrentNoteID returns the id of the newest accepted note.
+func (c *Configuration) CurrentNoteID() string { return c.currentNote }
 
 // Digest returns a hash of the items in force. It is equal on two routers that have the same items in force.
 func (c *Configuration) Digest() string { return fmt.Sprintf("%016x", c.digest) }
 
-// Account looks up a client account by the digest of its API key.
-func (c *Configuration) Account(keyDigest string) (a account.Account, ok bool) {
+// AccountByKeyDigest looks up a client account by the digest of its API key.
+func (c *Configuration) AccountByKeyDigest(keyDigest string) (a account.Account, ok bool) {
 	a, ok = c.accounts[keyDigest]
 	return a, ok
 }
 
-// Accounts returns the number of client accounts in force.
-func (c *Configuration) Accounts() int { return len(c.accounts) }
+// AccountCount returns the number of client accounts in force.
+func (c *Configuration) AccountCount() int { return len(c.accounts) }
 
 // HasModel reports whether the model is in force.
 func (c *Configuration) HasModel(name string) bool { return c.models[name] }
@@ -85,8 +85,8 @@
 	})
 }
 
-// Service returns the plain service whose path is the longest prefix of the given path.
-func (c *Configuration) Service(path string) (s service.Service, ok bool) {
+// ServiceForPath returns the plain service whose path is the longest prefix of the given path.
+func (c *Configuration) ServiceForPath(path string) (s service.Service, ok bool) {
 	for _, candidate := range c.services {
 		if strings.HasPrefix(path, candidate.Path()) && len(candidate.Path()) > len(s.Path()) {
 			s, ok = candidate, true
@@ -103,7 +103,7 @@
 }
 
 // Items returns the items in force, sorted by key.
-func (c *Configuration) Items() (items []note.Item) {
+func (c *Configuration) Items() (items []releasenote.Item) {
 	for _, key := range slices.Sorted(maps.Keys(c.items)) {
 		if e := c.items[key]; !e.withdrawn {
 			items = append(items, e.item)
@@ -114,7 +114,7 @@
 
 // itemDigest hashes one item. The digest of the configuration is the sum of these hashes, so that updating it costs
 // only as much as the items that a note touches.
-func itemDigest(i note.Item) uint64 {
+func itemDigest(i releasenote.Item) uint64 {
 	values, err := json.Marshal(i.Values())
 	if err != nil {
 		panic("inforce: cannot encode item values as JSON: " + err.Error())
--- a/core/inforce/snapshot.go
+++ b/core/activeconfig/snapshot.go
@@ -1,4 +1,4 @@
-package inforce
+package activeconfig
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"slices"
 
 	"savoryfall/core/annotate"
-	"savoryfall/core/note"
+	"savoryfall/core/releasenote"
 )
 
 // PartBytes bounds the snapshot data in one record, so that it fits the log's limit on record size.
@@ -79,7 +79,7 @@
 }
 
 func (c *Configuration) restoreItem(i snapshotItem) {
-	e := entry{item: note.NewItem(i.Kind, i.Name, i.Values), offset: i.Offset, noteID: i.Note, withdrawn: i.Withdrawn}
+	e := entry{item: releasenote.NewItem(i.Kind, i.Name, i.Values), offset: i.Offset, noteID: i.Note, withdrawn: i.Withdrawn}
 	c.items[e.item.Key()] = e
 	if i.Withdrawn {
 		return
@@ -115,14 +115,14 @@
 	return records, nil
 }
 
-// Recovery reassembles snapshots from stream records and keeps the newest complete one. The zero value is ready to use.
-type Recovery struct {
+// SnapshotAssembler reassembles snapshots from stream records and keeps the newest complete one. The zero value is ready to use.
+type SnapshotAssembler struct {
 	parts  map[string][][]byte
 	newest *Configuration
 }
 
-// Read processes the next record of the stream. Records that are not part of a valid snapshot are ignored.
-func (r *Recovery) Read(data []byte) {
+// Add processes the next record of the stream. Records that are not part of a valid snapshot are ignored.
+func (r *SnapshotAssembler) Add(data []byte) {
 	var envelope record
 	var p snapshotPart
 	if json.Unmarshal(data, &envelope) != nil || envelope.Kind != recordSnapshot || json.Unmarshal(envelope.Snapshot, &p) != nil {
@@ -145,11 +145,11 @@
 	}
 }
 
-// Best returns the newest configuration found so far, or nil.
-func (r *Recovery) Best() *Configuration { return r.newest }
+// Newest returns the newest configuration found so far, or nil.
+func (r *SnapshotAssembler) Newest() *Configuration { return r.newest }
 
-// IsSnapshot reports whether the record is part of a snapshot.
-func IsSnapshot(data []byte) bool {
+// IsSnapshotPart reports whether the record is part of a snapshot.
+func IsSnapshotPart(data []byte) bool {
 	var r struct {
 		Kind string `json:"kind"`
 	}
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -57,8 +57,8 @@
 // together.
 func (e *ShedError) RetryAfter() time.Duration { return e.Delay }
 
-// Enter blocks until the request is admitted. The caller must call release when the request has ended.
-func (g *Gate) Enter(ctx context.Context, account string, weight float64, pool string) (release func(), err error) {
+// Acquire blocks until the request is admitted. The caller must call release when the request has ended.
+func (g *Gate) Acquire(ctx context.Context, account string, weight float64, pool string) (release func(), err error) {
 	waiter, err := g.enqueue(ctx, account, weight, pool)
 	if err != nil {
 		return nil, err
@@ -137,8 +137,8 @@
 	}
 }
 
-// Waiting returns the number of queued requests over all pools.
-func (g *Gate) Waiting() (n int) {
+// Queued returns the number of queued requests over all pools.
+func (g *Gate) Queued() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, q := range g.queues {
--- a/core/admission/gate_test.go
+++ b/core/admission/gate_test.go
@@ -19,7 +19,7 @@
 func runRequests(ctx context.Context, g *admission.Gate, account string, n int, done *sync.WaitGroup, served map[string]int, mu *sync.Mutex) {
 	for range n {
 		done.Go(func() {
-			leave, err := g.Enter(ctx, account, 1, pool)
+			leave, err := g.Acquire(ctx, account, 1, pool)
 			if err != nil {
 				return
 			}
@@ -58,12 +58,12 @@
 func TestFullQueueShedsTheLargestAccount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := admission.NewGate(5, func(string) int { return 1 })
-		leave, err := g.Enter(t.Context(), "surge", 1, pool)
+		leave, err := g.Acquire(t.Context(), "surge", 1, pool)
 		assert.NilError(t, err)
 		results := make(chan error, 5)
 		for range 5 {
 			go func() {
-				leave, err := g.Enter(t.Context(), "surge", 1, pool)
+				leave, err := g.Acquire(t.Context(), "surge", 1, pool)
 				if err == nil {
 					leave()
 				}
@@ -71,13 +71,13 @@
 			}()
 		}
 		synctest.Wait()
-		_, err = g.Enter(t.Context(), "surge", 1, pool)
+		_, err = g.Acquire(t.Context(), "surge", 1, pool)
 		var shed *admission.ShedError
 		assert.Assert(t, errors.As(err, &shed))
 		assert.Assert(t, shed.RetryAfter() >= time.Second)
 		entered := make(chan error, 1)
 		go func() {
-			leave, err := g.Enter(t.Context(), "small", 1, pool)
+			leave, err := g.Acquire(t.Context(), "small", 1, pool)
 			if err == nil {
 				leave()
 			}
@@ -90,7 +90,7 @@
 		for range 4 {
 			assert.NilError(t, <-results)
 		}
-		assert.Equal(t, g.Waiting(), 0)
+		assert.Equal(t, g.Queued(), 0)
 	})
 }
 
@@ -101,7 +101,7 @@
 		var done sync.WaitGroup
 		for range 30 {
 			done.Go(func() {
-				leave, err := g.Enter(t.Context(), "a", 1, pool)
+				leave, err := g.Acquire(t.Context(), "a", 1, pool)
 				assert.Check(t, err)
 				time.Sleep(time.Second)
 				leave()
@@ -111,7 +111,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		began := time.Now()
-		_, err := g.Enter(ctx, "a", 1, pool)
+		_, err := g.Acquire(ctx, "a", 1, pool)
 		var shed *admission.ShedError
 		assert.Assert(t, errors.As(err, &shed))
 		assert.Equal(t, time.Since(began), time.Duration(0))
@@ -124,20 +124,20 @@
 func TestCancelingFreesTheQueuePlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := admission.NewGate(10, func(string) int { return 1 })
-		leave, err := g.Enter(t.Context(), "a", 1, pool)
+		leave, err := g.Acquire(t.Context(), "a", 1, pool)
 		assert.NilError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
 		canceled := make(chan error, 1)
 		go func() {
-			_, err := g.Enter(ctx, "a", 1, pool)
+			_, err := g.Acquire(ctx, "a", 1, pool)
 			canceled <- err
 		}()
 		synctest.Wait()
 		cancel()
 		assert.ErrorIs(t, <-canceled, context.Canceled)
-		assert.Equal(t, g.Waiting(), 0)
+		assert.Equal(t, g.Queued(), 0)
 		leave()
-		leave, err = g.Enter(t.Context(), "b", 1, pool)
+		leave, err = g.Acquire(t.Context(), "b", 1, pool)
 		assert.NilError(t, err)
 		leave()
 	})
--- a/core/background/pause.go
+++ b/core/background/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause sleeps until d has passed, the context ends, or wake (unless nil) receives a value or is closed.
-func Pause(ctx context.Context, d time.Duration, wake <-chan struct{}) {
+// Sleep sleeps until d has passed, the context ends, or wake (unless nil) receives a value or is closed.
+func Sleep(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	if d <= 0 {
 		return
 	}
--- a/core/candidate/candidate.go
+++ b/core/candidate/candidate.go
@@ -44,8 +44,8 @@
 // SetWeight sets the weight.
 func (c *Candidate) SetWeight(weight float64) { c.weight = weight }
 
-// Young reports whether the endpoint was added recently, so that it has no earlier chat in its cache.
-func (c *Candidate) Young() bool { return c.young }
+// RecentlyStarted reports whether the endpoint was added recently, so that it has no earlier chat in its cache.
+func (c *Candidate) RecentlyStarted() bool { return c.young }
 
-// SetYoung sets whether the endpoint was added recently.
-func (c *Candidate) SetYoung(young bool) { c.young = young }
+// SetRecentlyStarted sets whether the endpoint was added recently.
+func (c *Candidate) SetRecentlyStarted(young bool) { c.young = young }
--- a/core/claim/book.go
+++ b/core/claim/book.go
@@ -7,9 +7,9 @@
 	"savoryfall/core/outcome"
 )
 
-// Book holds the claims made within the window, as read from the claim stream. All routers that have read up to the
+// Table holds the claims made within the window, as read from the claim stream. All routers that have read up to the
 // same offset hold the same claims. The zero value has no window; create one with NewBook.
-type Book struct {
+type Table struct {
 	window        time.Duration
 	next          int64
 	claims        map[claimID]*claim
@@ -63,30 +63,30 @@
 
 // NewBook returns a book that keeps keys for the window, measured by the timestamps that the log assigns to its
 // records.
-func NewBook(window time.Duration) *Book {
-	return &Book{window: window, claims: map[claimID]*claim{}}
+func NewBook(window time.Duration) *Table {
+	return &Table{window: window, claims: map[claimID]*claim{}}
 }
 
 // Next returns the offset of the first record that has not been applied.
-func (b *Book) Next() int64 { return b.next }
+func (b *Table) Next() int64 { return b.next }
 
 // SkipTo continues at a later offset because the log has trimmed the records before it. Keys may have been claimed in
 // the skipped records, so the book is complete only from the given time on.
-func (b *Book) SkipTo(offset int64, completeSince time.Time) {
+func (b *Table) SkipTo(offset int64, completeSince time.Time) {
 	b.next = offset
 	b.completeSince = completeSince
 }
 
-// Covers reports whether every claim within the window before now has been read.
-func (b *Book) Covers(now time.Time) bool {
+// CompleteAt reports whether every claim within the window before now has been read.
+func (b *Table) CompleteAt(now time.Time) bool {
 	return b.completeSince.IsZero() || now.Sub(b.completeSince) >= b.window
 }
 
-// From returns the time since which every claim has been read; zero means since the first record.
-func (b *Book) From() time.Time { return b.completeSince }
+// CompleteSince returns the time since which every claim has been read; zero means since the first record.
+func (b *Table) CompleteSince() time.Time { return b.completeSince }
 
 // Apply applies the next record of the stream; a record that was already applied is ignored.
-func (b *Book) Apply(offset int64, at time.Time, data []byte) {
+func (b *Table) Apply(offset int64, at time.Time, data []byte) {
 	if offset < b.next {
 		return
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-func (b *Book) expire(now time.Time) {
+func (b *Table) expire(now time.Time) {
 	for len(b.insertions) > 0 && now.Sub(b.insertions[0].at) > b.window {
 		oldest := b.insertions[0]
 		b.insertions = b.insertions[1:]
@@ -111,7 +111,7 @@
 	}
 }
 
-func (b *Book) apply(offset int64, at time.Time, r Record) {
+func (b *Table) apply(offset int64, at time.Time, r Record) {
 	key := claimID{account: r.Account, key: r.Key}
 	c := b.claims[key]
 	switch r.Kind {
@@ -137,30 +137,30 @@
 	return c.settled && c.result.Outcome == outcome.NotRun
 }
 
-// Standing is the status of one attempt's claim.
-type Standing string
+// Ownership is the status of one attempt's claim.
+type Ownership string
 
 // The statuses of a claim.
 const (
-	// Free means that the key is not claimed.
-	Free Standing = "free"
+	// Unclaimed means that the key is not claimed.
+	Unclaimed Ownership = "free"
 	// Owner means that the attempt may send the call, once.
-	Owner Standing = "owner"
-	// Open means that another attempt owns the key and its outcome is not known yet.
-	Open Standing = "open"
+	Owner Ownership = "owner"
+	// Pending means that another attempt owns the key and its outcome is not known yet.
+	Pending Ownership = "open"
 	// Settled means that the call has run or may have run; the record holds what is known.
-	Settled Standing = "settled"
+	Settled Ownership = "settled"
 	// Mismatch means that the key was claimed for a different request.
-	Mismatch Standing = "mismatch"
+	Mismatch Ownership = "mismatch"
 )
 
-// Stand returns the status of an attempt's claim to the key, for a request with the given digest, and the recorded
+// OwnershipOf returns the status of an attempt's claim to the key, for a request with the given digest, and the recorded
 // outcome if there is one.
-func (b *Book) Stand(account, key, attempt, digest string) (s Standing, result Record) {
+func (b *Table) OwnershipOf(account, key, attempt, digest string) (s Ownership, result Record) {
 	c := b.claims[claimID{account: account, key: key}]
 	switch {
 	case c == nil || c.claimable() && c.attempt != attempt:
-		return Free, Record{}
+		return Unclaimed, Record{}
 	case c.digest != digest:
 		return Mismatch, Record{}
 	case c.settled:
@@ -168,11 +168,11 @@
 	case c.attempt == attempt:
 		return Owner, Record{}
 	}
-	return Open, Record{}
+	return Pending, Record{}
 }
 
 // Len returns the number of keys in the book.
-func (b *Book) Len() int { return len(b.claims) }
+func (b *Table) Len() int { return len(b.claims) }
 
 // Window returns how long a key is kept.
-func (b *Book) Window() time.Duration { return b.window }
+func (b *Table) Window() time.Duration { return b.window }
--- a/core/claim/book_test.go
+++ b/core/claim/book_test.go
@@ -76,7 +76,7 @@
 			}
 			c.stage = 1
 		case 1:
-			standing, _ := book.Stand("a", c.key, attempt, "d")
+			standing, _ := book.OwnershipOf("a", c.key, attempt, "d")
 			if readBack && standing != claim.Owner {
 				c.stage, c.attempt = 0, c.attempt+1
 				continue
@@ -133,20 +133,20 @@
 	b := claim.NewBook(window)
 	at := time.Unix(1_000_000, 0)
 	apply := func(offset int64, r claim.Record) { b.Apply(offset, at, claim.Encode([]claim.Record{r})) }
-	stand := func(attempt, digest string) claim.Standing {
-		s, _ := b.Stand("a", "k", attempt, digest)
+	stand := func(attempt, digest string) claim.Ownership {
+		s, _ := b.OwnershipOf("a", "k", attempt, digest)
 		return s
 	}
-	assert.Equal(t, stand("first", "d"), claim.Free)
+	assert.Equal(t, stand("first", "d"), claim.Unclaimed)
 	apply(0, claim.Record{Kind: claim.KindClaim, Account: "a", Key: "k", Attempt: "first", Digest: "d"})
 	apply(1, claim.Record{Kind: claim.KindClaim, Account: "a", Key: "k", Attempt: "second", Digest: "d"})
 	assert.Equal(t, stand("first", "d"), claim.Owner)
-	assert.Equal(t, stand("second", "d"), claim.Open)
+	assert.Equal(t, stand("second", "d"), claim.Pending)
 	assert.Equal(t, stand("third", "other"), claim.Mismatch)
 	apply(2, claim.Record{Kind: claim.KindOutcome, Account: "a", Key: "k", Attempt: "second", Outcome: outcome.NotRun})
-	assert.Equal(t, stand("second", "d"), claim.Open, "only the owner's outcome counts")
+	assert.Equal(t, stand("second", "d"), claim.Pending, "only the owner's outcome counts")
 	apply(3, claim.Record{Kind: claim.KindOutcome, Account: "a", Key: "k", Attempt: "first", Outcome: outcome.Ran, Status: 201})
-	s, result := b.Stand("a", "k", "second", "d")
+	s, result := b.OwnershipOf("a", "k", "second", "d")
 	assert.Equal(t, s, claim.Settled)
 	assert.Equal(t, result.Status, 201)
 }
@@ -157,8 +157,8 @@
 	at := time.Unix(1_000_000, 0)
 	b.SkipTo(7, at)
 	b.Apply(7, at, claim.Encode([]claim.Record{{Kind: claim.KindClaim, Account: "a", Key: "k", Attempt: "x", Digest: "d"}}))
-	assert.Assert(t, !b.Covers(at.Add(window-time.Second)))
-	assert.Assert(t, b.Covers(at.Add(window)))
+	assert.Assert(t, !b.CompleteAt(at.Add(window-time.Second)))
+	assert.Assert(t, b.CompleteAt(at.Add(window)))
 	assert.Equal(t, b.Len(), 1)
 	b.Apply(8, at.Add(window+time.Second), claim.Encode(nil))
 	assert.Equal(t, b.Len(), 0)
--- a/core/coldshare/fleet.go
+++ b/core/coldlimit/fleet.go
@@ -1,15 +1,15 @@
-package coldshare
+package coldlimit
 
 import (
 	"math"
 
-	"savoryfall/core/scatter"
+	"savoryfall/core/hashmix"
 )
 
 // Bound is how many requests beyond its rate a cold endpoint can take in one second.
 type Bound struct {
-	// Overrun is a factor on the rate, Slack a number of additional requests.
-	Overrun, Slack float64
+	// RateFactor is a factor on the rate, Slack a number of additional requests.
+	RateFactor, Slack float64
 }
 
 // dividedShare is the part of the bound that is divided. The rest is for routers that the others do not know of yet
@@ -19,7 +19,7 @@
 // Limit returns how many requests all routers together may send in a second to an endpoint that can take the given
 // rate while it is cold.
 func (b Bound) Limit(perSecond float64) int {
-	return int(math.Floor(dividedShare * (max(b.Overrun, 1)*perSecond + b.Slack)))
+	return int(math.Floor(dividedShare * (max(b.RateFactor, 1)*perSecond + b.Slack)))
 }
 
 // Fleet is the routers that divide the rate of cold endpoints. The zero value has no routers and no share of anything.
@@ -51,9 +51,9 @@
 
 // rankedBefore returns how many routers rank before this one for the endpoint.
 func (f Fleet) rankedBefore(endpoint uint64) (n int) {
-	own := scatter.Mix(f.self ^ endpoint)
+	own := hashmix.Mix(f.self ^ endpoint)
 	for _, r := range f.routers {
-		if scatter.Mix(r^endpoint) < own {
+		if hashmix.Mix(r^endpoint) < own {
 			n++
 		}
 	}
--- a/core/coldshare/fleet_test.go
+++ b/core/coldlimit/fleet_test.go
@@ -1,4 +1,4 @@
-package coldshare_test
+package coldlimit_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/coldshare"
+	"savoryfall/core/coldlimit"
 )
 
 // bound is how many requests a cold endpoint can take in any second: perSecond, half as many more, and 5.
@@ -19,7 +19,7 @@
 	bound     = 29
 )
 
-var coldBound = coldshare.Bound{Overrun: 1.5, Slack: 5}
+var coldBound = coldlimit.Bound{RateFactor: 1.5, Slack: 5}
 
 func hashes(n int) (routers []uint64) {
 	for i := range n {
@@ -37,13 +37,13 @@
 		for e := range uint64(50) {
 			sum := 0
 			for _, r := range routers {
-				sum += coldshare.New(r, routers).Share(e*7919, limit)
+				sum += coldlimit.New(r, routers).Share(e*7919, limit)
 			}
 			assert.Equal(t, sum, limit, "%d routers", n)
 		}
 	}
-	assert.Equal(t, coldshare.Fleet{}.Share(1, limit), 0)
-	assert.Equal(t, coldshare.New(1, []uint64{1}).Share(1, 0), 0)
+	assert.Equal(t, coldlimit.Fleet{}.Share(1, limit), 0)
+	assert.Equal(t, coldlimit.New(1, []uint64{1}).Share(1, 0), 0)
 }
 
 // Guards against a lost router that changes what all others may send.
@@ -53,7 +53,7 @@
 	for e := range uint64(50) {
 		changed := 0
 		for _, r := range routers[1:] {
-			if coldshare.New(r, routers).Share(e, limit) != coldshare.New(r, routers[1:]).Share(e, limit) {
+			if coldlimit.New(r, routers).Share(e, limit) != coldlimit.New(r, routers[1:]).Share(e, limit) {
 				changed++
 			}
 		}
@@ -96,7 +96,7 @@
 
 // rendezvousShares is the policy of the package.
 func rendezvousShares(w *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
-	return recentlySent(sent, now) < coldshare.New(router, w.knownRouters[router]).Share(endpoint, coldBound.Limit(perSecond))
+	return recentlySent(sent, now) < coldlimit.New(router, w.knownRouters[router]).Share(endpoint, coldBound.Limit(perSecond))
 }
 
 // evenSpacing gives each router the same share, as the time between its requests.
@@ -112,7 +112,7 @@
 func fourRouters(w *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
 	const responsible = 4
 	known := w.knownRouters[router]
-	if coldshare.New(router, known).Share(endpoint, min(responsible, len(known))) == 0 {
+	if coldlimit.New(router, known).Share(endpoint, min(responsible, len(known))) == 0 {
 		return false
 	}
 	return recentlySent(sent, now) < coldBound.Limit(perSecond)/responsible
--- a/core/keyed/doc.go
+++ b/core/compactedlog/doc.go
@@ -1,2 +1,2 @@
 // Package keyed defines the records of a log that is compacted by key: the log keeps the newest value of each key.
-package keyed
+package compactedlog
--- a/core/keyed/record.go
+++ b/core/compactedlog/record.go
@@ -1,4 +1,4 @@
-package keyed
+package compactedlog
 
 import "fmt"
 
@@ -18,8 +18,8 @@
 
 // TrimmedError reports that the records from offset Want on are no longer kept. The newest value of each key can
 // still be read.
-type TrimmedError struct{ Want, First int64 }
+type TrimmedError struct{ Requested, First int64 }
 
 func (e TrimmedError) Error() string {
-	return fmt.Sprintf("records were trimmed: the log starts at offset %d, requested offset %d", e.First, e.Want)
+	return fmt.Sprintf("records were trimmed: the log starts at offset %d, requested offset %d", e.First, e.Requested)
 }
--- a/core/decision/ring.go
+++ b/core/decision/ring.go
@@ -7,8 +7,8 @@
 	"savoryfall/core/outcome"
 )
 
-// Ring keeps the newest DefaultSize decisions. The zero value is ready to use.
-type Ring struct {
+// Log keeps the newest DefaultSize decisions. The zero value is ready to use.
+type Log struct {
 	mu        sync.Mutex
 	byRequest map[string]*Decision
 	order     []string
@@ -27,7 +27,7 @@
 	WaitedMs int64           `json:"waitedMs"`
 	Attempts []Attempt       `json:"attempts"`
 	Status   int             `json:"status"`
-	Told     outcome.Outcome `json:"told"`
+	Outcome  outcome.Outcome `json:"told"`
 	Problem  string          `json:"problem,omitempty"`
 }
 
@@ -44,12 +44,12 @@
 	Ms         int64           `json:"ms"`
 	Outcome    outcome.Outcome `json:"outcome"`
 	Problem    string          `json:"problem,omitempty"`
-	// Unreached is set if no connection was established, so that the attempt caused no load on the endpoint.
-	Unreached bool `json:"unreached,omitempty"`
+	// NotConnected is set if no connection was established, so that the attempt caused no load on the endpoint.
+	NotConnected bool `json:"unreached,omitempty"`
 }
 
 // Add records a decision and discards the oldest one if there are too many.
-func (r *Ring) Add(d *Decision) {
+func (r *Log) Add(d *Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byRequest == nil {
@@ -64,7 +64,7 @@
 }
 
 // Find returns the decision on the request with the given id.
-func (r *Ring) Find(request string) (d *Decision, ok bool) {
+func (r *Log) Find(request string) (d *Decision, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d, ok = r.byRequest[request]
--- a/core/dispatch/attempt.go
+++ b/core/dispatch/attempt.go
@@ -74,15 +74,15 @@
 // Endpoint returns the endpoint's directory entry as it was when the attempt began.
 func (a *Attempt) Endpoint() directory.Entry { return a.entry }
 
-// Donor returns the address of an endpoint that caches parts of the prompt which this one lacks, or "" if there is
+// FetchSource returns the address of an endpoint that caches parts of the prompt which this one lacks, or "" if there is
 // none.
-func (a *Attempt) Donor() string { return a.fetchSource }
+func (a *Attempt) FetchSource() string { return a.fetchSource }
 
 // MissingTokens returns how many tokens of the prompt the endpoint is estimated not to have cached.
 func (a *Attempt) MissingTokens() int { return a.missingTokens }
 
-// Answered records the first bytes of the answer, and the load that the answer reported.
-func (a *Attempt) Answered(l Load, now time.Time) {
+// RecordFirstBytes records the first bytes of the answer, and the load that the answer reported.
+func (a *Attempt) RecordFirstBytes(l Load, now time.Time) {
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	e := a.e
@@ -109,8 +109,8 @@
 	a.unreadTokens = 0
 }
 
-// Progress records that further bytes of a stream arrived.
-func (a *Attempt) Progress(now time.Time) {
+// RecordProgress records that further bytes of a stream arrived.
+func (a *Attempt) RecordProgress(now time.Time) {
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	a.e.lastBytesAt = now
@@ -127,8 +127,8 @@
 	return now.Sub(since)
 }
 
-// ToRead returns how many prompt tokens the endpoint still has to read, for all requests that the routers know of.
-func (a *Attempt) ToRead(now time.Time) int {
+// UnreadPromptTokens returns how many prompt tokens the endpoint still has to read, for all requests that the routers know of.
+func (a *Attempt) UnreadPromptTokens(now time.Time) int {
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	return a.e.backlog(now)
--- a/core/dispatch/avoid.go
+++ b/core/dispatch/avoid.go
@@ -3,7 +3,7 @@
 import (
 	"math/bits"
 
-	"savoryfall/core/scatter"
+	"savoryfall/core/hashmix"
 )
 
 const (
@@ -38,7 +38,7 @@
 		return c.failureRates[i]
 	}
 	// This hash differs from that of the rank, so that the prompts which move are not chosen by where they rank first.
-	if unitFraction(scatter.Mix(bits.RotateLeft64(c.q.Prompt.Key(), 32))^c.pool[i].hash) < c.avoidingShare {
+	if unitFraction(hashmix.Mix(bits.RotateLeft64(c.q.Prompt.RoutingKey(), 32))^c.pool[i].hash) < c.avoidingShare {
 		return c.failureRates[i]
 	}
 	return 0
--- a/core/dispatch/baseline_test.go
+++ b/core/dispatch/baseline_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 
 	"savoryfall/core/dispatch"
+	"savoryfall/core/prefixcache"
 	"savoryfall/core/prompt"
-	"savoryfall/core/warmth"
 )
 
 // workload is the requests of a busy day at engines that cache what they read: documents of unequal popularity, one of
@@ -27,7 +27,7 @@
 
 type engine struct {
 	id      string
-	cache   warmth.Cache
+	cache   prefixcache.Cache
 	running int
 }
 
@@ -80,7 +80,7 @@
 		if float64(e.running) > 2*float64(len(running))/workloadEngines+3 {
 			h.beyondBound++
 		}
-		h.tokensRead += chain.Tokens() - e.cache.Warm(chain)
+		h.tokensRead += chain.Tokens() - e.cache.CachedTokens(chain)
 		e.cache.Read(chain, workloadCache)
 		e.running++
 		running = append(running, open{e: e, at: now.Add(time.Duration(200+h.random.IntN(2600)) * time.Millisecond), ended: ended})
@@ -106,7 +106,7 @@
 	d, _ := newDispatcher(workloadEngines)
 	ours.run(func(chain prompt.Chain, now time.Time) (string, func(time.Time)) {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: chain}, now)
-		a.Answered(dispatch.Load{}, now)
+		a.RecordFirstBytes(dispatch.Load{}, now)
 		return a.Endpoint().ID, func(now time.Time) { a.End(dispatch.Served, now) }
 	})
 	least := newWorkload()
@@ -123,7 +123,7 @@
 	ranked.run(func(chain prompt.Chain, _ time.Time) (string, func(time.Time)) {
 		best, most := "", uint64(0)
 		for _, e := range ranked.engines {
-			if r := xxhash.Sum64String(fmt.Sprint(e.id, chain.Key())); best == "" || r > most {
+			if r := xxhash.Sum64String(fmt.Sprint(e.id, chain.RoutingKey())); best == "" || r > most {
 				best, most = e.id, r
 			}
 		}
--- a/core/dispatch/breaker_test.go
+++ b/core/dispatch/breaker_test.go
@@ -52,7 +52,7 @@
 		if a.Endpoint().ID == "models1" {
 			used++
 		}
-		a.Answered(dispatch.Load{}, now)
+		a.RecordFirstBytes(dispatch.Load{}, now)
 	}
 	assert.Assert(t, used >= 10, "%d", used)
 }
--- a/core/dispatch/caches_test.go
+++ b/core/dispatch/caches_test.go
@@ -60,7 +60,7 @@
 
 // read has the engine fetch what it is told to, and read what it still lacks.
 func (l *cacheFleet) read(a *dispatch.Attempt, chain prompt.Chain) {
-	own, donor := l.cached[a.Endpoint().ID], l.cached[l.addresses[a.Donor()]]
+	own, donor := l.cached[a.Endpoint().ID], l.cached[l.addresses[a.FetchSource()]]
 	for i, p := range chain {
 		_, has := own[p.ID]
 		_, fetched := donor[p.ID]
@@ -69,7 +69,7 @@
 		}
 		own[p.ID] = p.Tokens
 	}
-	a.Answered(dispatch.Load{}, l.now)
+	a.RecordFirstBytes(dispatch.Load{}, l.now)
 }
 
 func (l *cacheFleet) cachedAnywhere(part uint64) bool {
--- a/core/dispatch/cold.go
+++ b/core/dispatch/cold.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"savoryfall/core/coldshare"
+	"savoryfall/core/coldlimit"
 )
 
 // coldWindow is the time in which requests to a cold endpoint are counted: the one second of the users' bound, plus
@@ -51,14 +51,14 @@
 }
 
 // SetColdBound sets how far beyond their rate cold endpoints may be sent requests.
-func (d *Dispatcher) SetColdBound(b coldshare.Bound) {
+func (d *Dispatcher) SetColdBound(b coldlimit.Bound) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.coldBound = b
 }
 
 // SetFleet sets the routers that share the capacity of cold endpoints.
-func (d *Dispatcher) SetFleet(f coldshare.Fleet) {
+func (d *Dispatcher) SetFleet(f coldlimit.Fleet) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet = f
--- a/core/dispatch/demand.go
+++ b/core/dispatch/demand.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"savoryfall/core/board"
 	"savoryfall/core/fairness"
+	"savoryfall/core/fleetload"
 )
 
 const (
@@ -44,7 +44,7 @@
 	running  int
 	holdTime decayingMean
 	// others is the demand of the other routers.
-	others board.Demand
+	others fleetload.Demand
 	// refused counts the refused requests, decayed like arrivals. fullSince is when they became many, refusedAt when
 	// the last one was refused.
 	refused   float64
@@ -82,7 +82,7 @@
 	m.fade(now)
 	l := m.level(rank)
 	l.arrivals++
-	l.shares.Saw(account, now)
+	l.shares.Observe(account, now)
 	l.updateFull(now)
 }
 
@@ -126,22 +126,22 @@
 }
 
 // exchangeReports returns this router's demand for the other routers, without ranks that have next to none.
-func (m *demand) report(service uint32, now time.Time) (list []board.Demand) {
+func (m *demand) report(service uint32, now time.Time) (list []fleetload.Demand) {
 	m.fade(now)
 	for rank, l := range m.levels {
 		if l.running > 0 || l.arrivals >= minReportedWeight {
-			list = append(list, board.Demand{Service: service, Rank: rank, Came: float32(l.arrivals), Running: l.running})
+			list = append(list, fleetload.Demand{Service: service, Rank: rank, Came: float32(l.arrivals), Running: l.running})
 		}
 	}
 	return list
 }
 
 // setOthers sets the demand of the other routers: that of all routers, less what this one reported.
-func (m *demand) setOthers(service uint32, total, own []board.Demand, now time.Time) {
+func (m *demand) setOthers(service uint32, total, own []fleetload.Demand, now time.Time) {
 	m.fade(now)
 	m.othersAt = now
 	for i := range m.levels {
-		m.levels[i].others = board.Demand{}
+		m.levels[i].others = fleetload.Demand{}
 	}
 	for _, d := range total {
 		if d.Service == service {
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
 	"savoryfall/core/directory"
 	"savoryfall/core/dispatch"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/prompt"
 	"savoryfall/core/routetable"
 )
@@ -27,7 +27,7 @@
 func newDispatcher(n int) (d *dispatch.Dispatcher, entries []directory.Entry) {
 	d = dispatch.New("a")
 	d.Seed(1)
-	d.Configure(routetable.New(routetable.Contents{Services: []routetable.Service{
+	d.Configure(routetable.New(routetable.Config{Services: []routetable.Service{
 		{Name: models, Engine: true, Slots: 32, CacheTokens: 700000}, {Name: plain},
 	}}))
 	for i := range n {
@@ -72,7 +72,7 @@
 			for _, d := range []*dispatch.Dispatcher{d1, d2} {
 				a := choose(t, d, dispatch.Query{Service: models, Prompt: document(doc, i)}, start)
 				where[a.Endpoint().ID] = true
-				a.Answered(dispatch.Load{}, start)
+				a.RecordFirstBytes(dispatch.Load{}, start)
 				a.End(dispatch.Served, start)
 			}
 		}
@@ -89,7 +89,7 @@
 	for i := range uint64(60) {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, i)}, start)
 		at[a.Endpoint().ID]++
-		if at[a.Endpoint().ID] == 1 && a.Donor() == "" {
+		if at[a.Endpoint().ID] == 1 && a.FetchSource() == "" {
 			reads++
 		}
 	}
@@ -112,7 +112,7 @@
 	next := q(1)
 	next.Tried = []string{home.ID}
 	a := choose(t, d, next, start)
-	assert.Equal(t, a.Donor(), home.Address)
+	assert.Equal(t, a.FetchSource(), home.Address)
 }
 
 // A new engine becomes the home of a question whose shared part another engine has cached. Other routers may have sent
@@ -133,7 +133,7 @@
 	next.Tried = []string{before.ID}
 	a := choose(t, d, next, start)
 	assert.Equal(t, a.Endpoint().ID, home.ID)
-	assert.Equal(t, a.Donor(), before.Address)
+	assert.Equal(t, a.FetchSource(), before.Address)
 }
 
 // The load reported by other routers counts: an engine that they have filled is passed over, although this router has
@@ -142,11 +142,11 @@
 	d, _ := newDispatcher(3)
 	q := dispatch.Query{Service: models, Prompt: document(1, 1)}
 	home := choose(t, d, q, start)
-	own := d.Work(start)
+	own := d.OwnWorkload(start)
 	home.End(dispatch.Abandoned, start)
-	total := board.Work{Loads: slices.Clone(own.Loads)}
+	total := fleetload.Workload{Loads: slices.Clone(own.Loads)}
 	total.Loads[0].Running = 25
-	d.Others(total, own, start)
+	d.SetFleetWorkload(total, own, start)
 	a := choose(t, d, q, start)
 	assert.Assert(t, a.Endpoint().ID != home.Endpoint().ID)
 }
@@ -208,7 +208,7 @@
 	}
 	a, why := d.Choose(dispatch.Query{Service: plain}, start)
 	assert.Assert(t, a == nil)
-	assert.Equal(t, why, dispatch.ReasonFull)
+	assert.Equal(t, why, dispatch.ReasonAllFull)
 }
 
 // Engines have free slots, but each has so many prompts to read that the next one would wait for a quarter of its
@@ -223,7 +223,7 @@
 		}
 		last = why
 	}
-	assert.Equal(t, last, dispatch.ReasonFull)
+	assert.Equal(t, last, dispatch.ReasonAllFull)
 	assert.Equal(t, sent, 2*3, "more than 200 ms of reading at 100 tokens a millisecond")
 }
 
@@ -233,7 +233,7 @@
 	assert.Equal(t, why, dispatch.ReasonNoEndpoint)
 	_, why = d.Choose(dispatch.Query{Service: plain, Tried: []string{"plain0"}}, start)
 	assert.Equal(t, why, dispatch.ReasonAllTried)
-	d.Gone("plain0")
+	d.MarkReplaced("plain0")
 	a, _ := d.Choose(dispatch.Query{Service: plain}, start)
 	assert.Assert(t, a == nil)
 	for i := range entries {
@@ -265,8 +265,8 @@
 	q := dispatch.Query{Service: models, Prompt: document(3, 1)}
 	home := choose(t, d1, q, start).Endpoint()
 	spilled := choose(t, d1, dispatch.Query{Service: models, Prompt: document(3, 2), Tried: []string{home.ID}}, start)
-	d2.Learn(d1.Placed())
-	assert.Equal(t, len(d1.Placed()), 0)
+	d2.RecordReads(d1.TakeReads())
+	assert.Equal(t, len(d1.TakeReads()), 0)
 	q.Tried = []string{home.ID}
 	a := choose(t, d2, q, start)
 	assert.Equal(t, a.Endpoint().ID, spilled.Endpoint().ID)
@@ -281,9 +281,9 @@
 		a.End(v, start)
 		a.End(v, start)
 	}
-	for _, l := range d.Work(start).Loads {
+	for _, l := range d.OwnWorkload(start).Loads {
 		assert.Equal(t, l.Running, 0)
-		assert.Equal(t, l.Unread, 0)
+		assert.Equal(t, l.PendingPromptTokens, 0)
 	}
 }
 
@@ -291,17 +291,17 @@
 // mean.
 func TestMeasures(t *testing.T) {
 	d, _ := newDispatcher(2)
-	assert.Equal(t, d.Measure(start).Busiest, 0.0)
+	assert.Equal(t, d.CurrentMetrics(start).MaxOverMean, 0.0)
 	for i := range uint64(2) {
 		choose(t, d, dispatch.Query{Service: models, Prompt: document(1, i)}, start)
 	}
-	m := d.Measure(start)
-	assert.Equal(t, m.Prompt, uint64(2*10800))
-	assert.Assert(t, m.Warm > 10000 && m.Warm < 2*10800, "%d", m.Warm)
-	assert.Equal(t, m.Busiest, 2.0)
+	m := d.CurrentMetrics(start)
+	assert.Equal(t, m.PromptTokens, uint64(2*10800))
+	assert.Assert(t, m.CachedTokens > 10000 && m.CachedTokens < 2*10800, "%d", m.CachedTokens)
+	assert.Equal(t, m.MaxOverMean, 2.0)
 	assert.Equal(t, m.Endpoints, 4)
-	d.Others(board.Work{}, board.Work{}, start)
-	assert.Equal(t, d.Measure(start.Add(time.Second)).ViewAge, time.Second)
+	d.SetFleetWorkload(fleetload.Workload{}, fleetload.Workload{}, start)
+	assert.Equal(t, d.CurrentMetrics(start.Add(time.Second)).LoadReportAge, time.Second)
 }
 
 func BenchmarkChoose(b *testing.B) {
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"savoryfall/core/board"
-	"savoryfall/core/coldshare"
+	"savoryfall/core/coldlimit"
 	"savoryfall/core/directory"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/prompt"
 	"savoryfall/core/routetable"
 )
@@ -22,7 +22,7 @@
 	byID          map[string]*endpoint
 	prefill       prefillRate
 	demands       map[string]*demand
-	pendingReads  []board.Read
+	pendingReads  []fleetload.PrefixRead
 	byShortHash   map[uint32]*endpoint
 	// departed are the endpoints that recently left the directory; engines among them may cache prompts that no other
 	// engine does.
@@ -36,8 +36,8 @@
 	drained        []string
 	drainedAt      map[string]time.Time
 	drainFetchTerm time.Duration
-	fleet          coldshare.Fleet
-	coldBound      coldshare.Bound
+	fleet          coldlimit.Fleet
+	coldBound      coldlimit.Bound
 }
 
 // New returns a dispatcher for a router of the failure domain.
@@ -120,7 +120,7 @@
 	ReasonLowestCost Reason = "cost"
 	ReasonNoEndpoint Reason = "noEndpoint"
 	ReasonAllTried   Reason = "allTried"
-	ReasonFull       Reason = "allFull"
+	ReasonAllFull    Reason = "allFull"
 	// ReasonReserved means that the remaining capacity is reserved for more urgent requests.
 	ReasonReserved Reason = "reserved"
 )
@@ -172,8 +172,8 @@
 	return d.demand(service).fullFor(rank, now)
 }
 
-// Room reports whether an endpoint of the service other than the one with the id could take a request now.
-func (d *Dispatcher) Room(service, id string, now time.Time) bool {
+// HasCapacityElsewhere reports whether an endpoint of the service other than the one with the id could take a request now.
+func (d *Dispatcher) HasCapacityElsewhere(service, id string, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.scoring(Query{Service: service}, d.pools[service], now)
@@ -182,8 +182,8 @@
 	})
 }
 
-// Gone drops an endpoint that another process has replaced at its address, until the directory lists it anew.
-func (d *Dispatcher) Gone(id string) {
+// MarkReplaced drops an endpoint that another process has replaced at its address, until the directory lists it anew.
+func (d *Dispatcher) MarkReplaced(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.byID[id]
--- a/core/dispatch/drain.go
+++ b/core/dispatch/drain.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Drain sets the failure domains whose endpoints get no new work. When the drain of a domain ends, its endpoints may
+// SetDrained sets the failure domains whose endpoints get no new work. When the drain of a domain ends, its endpoints may
 // just have started: they count as cold for the usual time after a start.
-func (d *Dispatcher) Drain(domains []string, now time.Time) {
+func (d *Dispatcher) SetDrained(domains []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.byID {
@@ -24,8 +24,8 @@
 	d.drained = slices.Clone(domains)
 }
 
-// InDomain returns how many listed endpoints are in the failure domain.
-func (d *Dispatcher) InDomain(domain string) (n int) {
+// CountInDomain returns how many listed endpoints are in the failure domain.
+func (d *Dispatcher) CountInDomain(domain string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.byID {
@@ -49,10 +49,10 @@
 	return slices.DeleteFunc(slices.Clone(pool), d.isDrained)
 }
 
-// SetDrainTerm sets for how long cached parts are still fetched from the engines of a drained failure domain. Most of
+// SetDrainFetchTerm sets for how long cached parts are still fetched from the engines of a drained failure domain. Most of
 // them are cached nowhere else, and would be read again; an operator who drains a domain expects its traffic to end
 // soon.
-func (d *Dispatcher) SetDrainTerm(term time.Duration) {
+func (d *Dispatcher) SetDrainFetchTerm(term time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.drainFetchTerm = term
--- a/core/dispatch/drain_test.go
+++ b/core/dispatch/drain_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/coldshare"
+	"savoryfall/core/coldlimit"
 	"savoryfall/core/directory"
 	"savoryfall/core/dispatch"
 	"savoryfall/core/routetable"
@@ -16,7 +16,7 @@
 // second while they are cold.
 func newTwoDomains(routers ...uint64) (d *dispatch.Dispatcher, entries []directory.Entry) {
 	d, entries = newDispatcher(6)
-	d.Configure(routetable.New(routetable.Contents{Services: []routetable.Service{
+	d.Configure(routetable.New(routetable.Config{Services: []routetable.Service{
 		{Name: models, Engine: true, Slots: 32, CacheTokens: 700000, ColdFor: 3 * time.Second, ColdPerSecond: 16}, {Name: plain},
 	}}))
 	for i := range entries {
@@ -25,9 +25,9 @@
 		}
 	}
 	d.Update(entries, start)
-	d.SetColdBound(coldshare.Bound{Overrun: 1.5, Slack: 5})
+	d.SetColdBound(coldlimit.Bound{RateFactor: 1.5, Slack: 5})
 	if len(routers) > 0 {
-		d.SetFleet(coldshare.New(routers[0], routers))
+		d.SetFleet(coldlimit.New(routers[0], routers))
 	}
 	return d, entries
 }
@@ -37,28 +37,28 @@
 	d, _ := newTwoDomains(1)
 	for i := range uint64(100) {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(i%20, i)}, start)
-		a.Answered(dispatch.Load{}, start)
+		a.RecordFirstBytes(dispatch.Load{}, start)
 		a.End(dispatch.Served, start)
 	}
-	d.SetDrainTerm(time.Second)
-	d.Drain([]string{"b"}, start.Add(-2*time.Second))
-	assert.Equal(t, d.InDomain("b"), 6)
+	d.SetDrainFetchTerm(time.Second)
+	d.SetDrained([]string{"b"}, start.Add(-2*time.Second))
+	assert.Equal(t, d.CountInDomain("b"), 6)
 	for i := range uint64(100) {
 		q := dispatch.Query{Service: models, Prompt: document(i%20, i)}
 		a := choose(t, d, q, start)
 		assert.Equal(t, a.Endpoint().FailureDomain, "a")
-		assert.Assert(t, a.Donor() == "" || a.Donor() < "10.0.0.3", a.Donor())
+		assert.Assert(t, a.FetchSource() == "" || a.FetchSource() < "10.0.0.3", a.FetchSource())
 		a.End(dispatch.Broken, start)
 		q.Tried = []string{a.Endpoint().ID}
 		a = choose(t, d, q, start)
 		assert.Equal(t, a.Endpoint().FailureDomain, "a")
 		a.End(dispatch.Served, start)
 	}
-	d.Drain([]string{"a", "b"}, start)
+	d.SetDrained([]string{"a", "b"}, start)
 	a, why := d.Choose(dispatch.Query{Service: models}, start)
 	assert.Assert(t, a == nil)
 	assert.Equal(t, why, dispatch.ReasonNoEndpoint)
-	assert.Assert(t, !d.Room(models, "", start))
+	assert.Assert(t, !d.HasCapacityElsewhere(models, "", start))
 }
 
 // Guards against prompts that are read again because only engines of a domain that was just drained have them cached.
@@ -70,16 +70,16 @@
 		if a.Endpoint().FailureDomain == "b" {
 			held[i] = a.Endpoint().Address
 		}
-		a.Answered(dispatch.Load{}, start)
+		a.RecordFirstBytes(dispatch.Load{}, start)
 		a.End(dispatch.Served, start)
 	}
 	assert.Assert(t, len(held) > 5)
-	d.SetDrainTerm(2500 * time.Millisecond)
-	d.Drain([]string{"b"}, start)
+	d.SetDrainFetchTerm(2500 * time.Millisecond)
+	d.SetDrained([]string{"b"}, start)
 	for i, address := range held {
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(i, i+100)}, start.Add(time.Second))
 		assert.Equal(t, a.Endpoint().FailureDomain, "a")
-		assert.Equal(t, a.Donor(), address)
+		assert.Equal(t, a.FetchSource(), address)
 		a.End(dispatch.Served, start)
 	}
 }
@@ -107,8 +107,8 @@
 func TestReturnOfADrainedDomainIsCold(t *testing.T) {
 	d, _ := newTwoDomains(1)
 	now := start.Add(time.Minute)
-	d.Drain([]string{"b"}, now)
-	d.Drain(nil, now)
+	d.SetDrained([]string{"b"}, now)
+	d.SetDrained(nil, now)
 	assert.Equal(t, maxSentInB(d, now), 26)
 	now = now.Add(4 * time.Second)
 	assert.Assert(t, maxSentInB(d, now) > 29)
@@ -150,7 +150,7 @@
 			a.End(dispatch.Served, start)
 			continue
 		}
-		assert.Equal(t, why, dispatch.ReasonFull)
+		assert.Equal(t, why, dispatch.ReasonAllFull)
 	}
 	assert.Equal(t, served, 6*26)
 }
@@ -170,7 +170,7 @@
 		if a.Endpoint().ID == "models4" {
 			sent++
 		}
-		a.Answered(dispatch.Load{}, now)
+		a.RecordFirstBytes(dispatch.Load{}, now)
 		a.End(dispatch.Served, now)
 	}
 	assert.Assert(t, sent >= 10 && sent <= 26, "%d", sent)
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"savoryfall/core/board"
 	"savoryfall/core/directory"
-	"savoryfall/core/warmth"
+	"savoryfall/core/fleetload"
+	"savoryfall/core/prefixcache"
 )
 
 // endpoint is what this router knows of one endpoint.
@@ -27,14 +27,14 @@
 	othersRunning int
 	othersAt      time.Time
 	// othersReport is the hub's last report of the other routers.
-	othersReport   board.Load
+	othersReport   fleetload.Load
 	othersReportAt time.Time
 	failures       decayingRatio
 	breaker        breaker
 	// untracked counts the requests beyond those that the routers know of, as of the endpoint's last load report.
 	untracked   float64
 	untrackedAt time.Time
-	cache       warmth.Cache
+	cache       prefixcache.Cache
 	// latency is the time that a plain answer takes, in milliseconds.
 	latency decayingMean
 	// lastBytesAt is when the endpoint last sent any bytes.
@@ -111,7 +111,7 @@
 	if now.Sub(e.othersReportAt) > othersMaxAge {
 		return own
 	}
-	return max(own, float64(e.othersReport.Hidden)*e.untrackedShare(now.Sub(e.othersReportAt)))
+	return max(own, float64(e.othersReport.Unaccounted)*e.untrackedShare(now.Sub(e.othersReportAt)))
 }
 
 // recordLoad records the load that an answer reports. Compared with the hub's count of requests that routers wait for,
@@ -131,7 +131,7 @@
 	if now.Sub(e.othersReportAt) > othersMaxAge {
 		return e.unreadTokens
 	}
-	return e.unreadTokens + e.othersReport.Unread
+	return e.unreadTokens + e.othersReport.PendingPromptTokens
 }
 
 // failureRate returns the share of recent attempts that failed, of this router and the others.
@@ -139,8 +139,8 @@
 	e.failures.fade(now)
 	bad, all := e.failures.bad, e.failures.all
 	if now.Sub(e.othersReportAt) <= othersMaxAge {
-		bad += float64(e.othersReport.Bad)
-		all += float64(e.othersReport.All)
+		bad += float64(e.othersReport.Failures)
+		all += float64(e.othersReport.Attempts)
 	}
 	return min(bad/(all+priorSuccesses), 1)
 }
--- a/core/dispatch/exchange.go
+++ b/core/dispatch/exchange.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"savoryfall/core/board"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/prompt"
 )
 
-// Work returns this router's current load and demand, for the other routers.
-func (d *Dispatcher) Work(now time.Time) (w board.Work) {
+// OwnWorkload returns this router's current load and demand, for the other routers.
+func (d *Dispatcher) OwnWorkload(now time.Time) (w fleetload.Workload) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.byID {
@@ -17,9 +17,9 @@
 		if e.running == 0 && e.failures.all < minReportedWeight && untracked < minReportedWeight {
 			continue
 		}
-		w.Loads = append(w.Loads, board.Load{
-			Endpoint: e.shortHash(), Running: e.running, Unread: e.unreadTokens,
-			Bad: float32(e.failures.bad), All: float32(e.failures.all), Hidden: float32(untracked),
+		w.Loads = append(w.Loads, fleetload.Load{
+			Endpoint: e.shortHash(), Running: e.running, PendingPromptTokens: e.unreadTokens,
+			Failures: float32(e.failures.bad), Attempts: float32(e.failures.all), Unaccounted: float32(untracked),
 		})
 	}
 	for service, m := range d.demands {
@@ -31,8 +31,8 @@
 // minReportedWeight is the decayed weight below which endpoints and ranks are left out of reports.
 const minReportedWeight = 0.1
 
-// Others sets the work of all routers together, of which own is what this router had reported.
-func (d *Dispatcher) Others(total, own board.Work, now time.Time) {
+// SetFleetWorkload sets the work of all routers together, of which own is what this router had reported.
+func (d *Dispatcher) SetFleetWorkload(total, own fleetload.Workload, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.othersAt = now
@@ -42,9 +42,9 @@
 	}
 }
 
-func (d *Dispatcher) setOtherLoads(total, own []board.Load, now time.Time) {
+func (d *Dispatcher) setOtherLoads(total, own []fleetload.Load, now time.Time) {
 	for _, e := range d.byID {
-		e.othersReport, e.othersReportAt = board.Load{}, now
+		e.othersReport, e.othersReportAt = fleetload.Load{}, now
 		e.othersRunning, e.othersAt = 0, now
 	}
 	for _, l := range total {
@@ -55,28 +55,28 @@
 	for _, l := range own {
 		if e := d.byShortHash[l.Endpoint]; e != nil {
 			e.othersReport.Running -= l.Running
-			e.othersReport.Unread -= l.Unread
-			e.othersReport.Bad -= l.Bad
-			e.othersReport.All -= l.All
+			e.othersReport.PendingPromptTokens -= l.PendingPromptTokens
+			e.othersReport.Failures -= l.Failures
+			e.othersReport.Attempts -= l.Attempts
 		}
 	}
 	for _, e := range d.byID {
-		e.othersReport.Running, e.othersReport.Unread = max(e.othersReport.Running, 0), max(e.othersReport.Unread, 0)
-		e.othersReport.Bad, e.othersReport.All = max(e.othersReport.Bad, 0), max(e.othersReport.All, 0)
+		e.othersReport.Running, e.othersReport.PendingPromptTokens = max(e.othersReport.Running, 0), max(e.othersReport.PendingPromptTokens, 0)
+		e.othersReport.Failures, e.othersReport.Attempts = max(e.othersReport.Failures, 0), max(e.othersReport.Attempts, 0)
 		e.othersRunning = e.othersReport.Running
 	}
 }
 
-// Placed returns the shared prompt parts that this router has sent to endpoints since the last call.
-func (d *Dispatcher) Placed() (reads []board.Read) {
+// TakeReads returns the shared prompt parts that this router has sent to endpoints since the last call.
+func (d *Dispatcher) TakeReads() (reads []fleetload.PrefixRead) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reads, d.pendingReads = d.pendingReads, nil
 	return reads
 }
 
-// Learn records the prompt parts that other routers have sent to endpoints.
-func (d *Dispatcher) Learn(reads []board.Read) {
+// RecordReads records the prompt parts that other routers have sent to endpoints.
+func (d *Dispatcher) RecordReads(reads []fleetload.PrefixRead) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range reads {
@@ -98,8 +98,8 @@
 // recordRead records that the endpoint reads the prompt.
 func (d *Dispatcher) recordRead(q Query, e *endpoint) {
 	common := sharedParts(q.Prompt)
-	if n := common.Tokens(); n >= minReportedTokens && e.cache.Warm(common) < n && len(d.pendingReads) < maxPendingReads {
-		d.pendingReads = append(d.pendingReads, board.Read{Endpoint: e.shortHash(), Parts: common})
+	if n := common.Tokens(); n >= minReportedTokens && e.cache.CachedTokens(common) < n && len(d.pendingReads) < maxPendingReads {
+		d.pendingReads = append(d.pendingReads, fleetload.PrefixRead{Endpoint: e.shortHash(), Parts: common})
 	}
 	_, cache, _ := d.serviceCapacity(q.Service)
 	e.cache.Read(q.Prompt, cache)
--- a/core/dispatch/exchange_test.go
+++ b/core/dispatch/exchange_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
 	"savoryfall/core/dispatch"
+	"savoryfall/core/fleetload"
 )
 
 // routerFleet is a fleet of routers that share engines and learn of each other's loads through a hub, some hundred
@@ -16,7 +16,7 @@
 type routerFleet struct {
 	t       *testing.T
 	routers []*dispatch.Dispatcher
-	board   board.Board
+	board   fleetload.Aggregator
 	now     time.Time
 	running map[string]int
 	total   int
@@ -100,12 +100,12 @@
 		if int(due)%len(c.routers) != i {
 			continue
 		}
-		own := d.Work(c.now)
-		c.board.Take(fmt.Sprint(i), own, d.Placed(), c.now)
+		own := d.OwnWorkload(c.now)
+		c.board.AddReport(fmt.Sprint(i), own, d.TakeReads(), c.now)
 		total, _ := c.board.Totals(c.now)
-		d.Others(total, own, c.now)
+		d.SetFleetWorkload(total, own, c.now)
 		reads, _ := c.board.ReadsSince(0)
-		d.Learn(reads)
+		d.RecordReads(reads)
 	}
 }
 
@@ -148,7 +148,7 @@
 		}
 		c.running[a.Endpoint().ID]++
 		c.total++
-		a.Answered(dispatch.Load{}, c.now)
+		a.RecordFirstBytes(dispatch.Load{}, c.now)
 		c.open = append(c.open, open{attempt: a, ends: c.now.Add(held), n: n})
 	}
 	return refused
--- a/core/dispatch/fetch.go
+++ b/core/dispatch/fetch.go
@@ -39,7 +39,7 @@
 	}
 	for _, e := range c.draining {
 		if c.d.mayServeFetches(e, c.now) && !e.breaker.isOpen(c.now) {
-			consider(e, e.cache.Warm(c.q.Prompt))
+			consider(e, e.cache.CachedTokens(c.q.Prompt))
 		}
 	}
 	return address
--- a/core/dispatch/fetch_test.go
+++ b/core/dispatch/fetch_test.go
@@ -25,13 +25,13 @@
 	}{{after: 0, fetch: true}, {after: 2500 * time.Millisecond, fetch: true}, {after: 4 * time.Second}} {
 		d, entries := newDispatcher(4)
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
-		a.Answered(dispatch.Load{}, start)
+		a.RecordFirstBytes(dispatch.Load{}, start)
 		a.End(dispatch.Served, start)
 		left := a.Endpoint()
 		d.Update(without(entries, left.ID), start)
 		next := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 2)}, start.Add(when.after))
 		assert.Assert(t, next.Endpoint().ID != left.ID)
-		assert.Equal(t, next.Donor() == left.Address, when.fetch, "%s after it left", when.after)
+		assert.Equal(t, next.FetchSource() == left.Address, when.fetch, "%s after it left", when.after)
 	}
 }
 
@@ -40,14 +40,14 @@
 func TestNothingIsFetchedFromALostEngine(t *testing.T) {
 	for name, lose := range map[string]func(d *dispatch.Dispatcher, a *dispatch.Attempt){
 		"silent":   func(_ *dispatch.Dispatcher, a *dispatch.Attempt) { a.End(dispatch.Silent, start) },
-		"replaced": func(d *dispatch.Dispatcher, a *dispatch.Attempt) { d.Gone(a.Endpoint().ID) },
+		"replaced": func(d *dispatch.Dispatcher, a *dispatch.Attempt) { d.MarkReplaced(a.Endpoint().ID) },
 	} {
 		d, entries := newDispatcher(4)
 		a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
 		lose(d, a)
 		d.Update(without(entries, a.Endpoint().ID), start)
 		next := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 2)}, start)
-		assert.Equal(t, next.Donor(), "", name)
+		assert.Equal(t, next.FetchSource(), "", name)
 	}
 }
 
@@ -62,7 +62,7 @@
 	next := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 2)}, start)
 	assert.Equal(t, next.Endpoint().ID, a.Endpoint().ID)
 	assert.Equal(t, next.MissingTokens(), 300)
-	assert.Equal(t, next.Donor(), "")
+	assert.Equal(t, next.FetchSource(), "")
 }
 
 // The address of an engine that has left is given to another endpoint, which caches nothing of what the engine had.
@@ -74,5 +74,5 @@
 	d.Update(others, start)
 	d.Update(append(others, directory.Entry{ID: "new", Service: "other", Address: a.Endpoint().Address}), start)
 	next := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 2)}, start)
-	assert.Equal(t, next.Donor(), "")
+	assert.Equal(t, next.FetchSource(), "")
 }
--- a/core/dispatch/metrics.go
+++ b/core/dispatch/metrics.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Measures are the quantities that users judge the router by: how much of the prompts was cached where they were sent,
+// Metrics are the quantities that users judge the router by: how much of the prompts was cached where they were sent,
 // and how even the load is.
-type Measures struct {
-	// Prompt counts the tokens of all prompts sent, Warm those of them that the engine was estimated to have cached.
-	Prompt, Warm uint64
-	// Busiest is the load of the busiest endpoint over the mean of its service: the maximum over all services with a
+type Metrics struct {
+	// PromptTokens counts the tokens of all prompts sent, Warm those of them that the engine was estimated to have cached.
+	PromptTokens, CachedTokens uint64
+	// MaxOverMean is the load of the busiest endpoint over the mean of its service: the maximum over all services with a
 	// load of at least one request an endpoint, 0 if there is none.
-	Busiest float64
+	MaxOverMean float64
 	// Endpoints is how many endpoints may get work, Failing how many of them fail at least every fourth attempt.
 	Endpoints, Failing int
 	// Silent is how many of them get no requests because they did not answer.
 	Silent int
 	// FullFor is the longest time for which a rank of any service has had its requests refused.
 	FullFor time.Duration
-	// ViewAge is the time since the hub last reported the other routers' loads.
-	ViewAge time.Duration
+	// LoadReportAge is the time since the hub last reported the other routers' loads.
+	LoadReportAge time.Duration
 }
 
 // failingThreshold is the failure rate from which an endpoint counts as failing.
 const failingThreshold = 0.25
 
-// Measure returns the current measures.
-func (d *Dispatcher) Measure(now time.Time) (m Measures) {
+// CurrentMetrics returns the current measures.
+func (d *Dispatcher) CurrentMetrics(now time.Time) (m Metrics) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m.Prompt, m.Warm, m.Endpoints = d.promptTokens, d.cachedTokens, len(d.byID)
-	m.ViewAge = d.viewAge(now)
+	m.PromptTokens, m.CachedTokens, m.Endpoints = d.promptTokens, d.cachedTokens, len(d.byID)
+	m.LoadReportAge = d.viewAge(now)
 	for _, pool := range d.pools {
-		m.Busiest = max(m.Busiest, maxOverMean(pool, now))
+		m.MaxOverMean = max(m.MaxOverMean, maxOverMean(pool, now))
 		for _, e := range pool {
 			if e.failureRate(now) >= failingThreshold {
 				m.Failing++
@@ -48,8 +48,8 @@
 	return m
 }
 
-// ViewAge returns the time since the hub last reported the other routers' loads, 0 before the first report.
-func (d *Dispatcher) ViewAge(now time.Time) time.Duration {
+// LoadReportAge returns the time since the hub last reported the other routers' loads, 0 before the first report.
+func (d *Dispatcher) LoadReportAge(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.viewAge(now)
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -33,11 +33,11 @@
 	if left >= expected.sameRank {
 		return "", false
 	}
-	if left > 0 && c.d.randomFloat() < m.level(c.q.Rank).shares.Chance(c.q.Account, left/expected.sameRank, c.now) {
+	if left > 0 && c.d.randomFloat() < m.level(c.q.Rank).shares.AdmitProbability(c.q.Account, left/expected.sameRank, c.now) {
 		return "", false
 	}
 	if expected.moreUrgent == 0 {
-		return ReasonFull, true
+		return ReasonAllFull, true
 	}
 	return ReasonReserved, true
 }
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
 	"savoryfall/core/dispatch"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/prompt"
 )
 
@@ -46,7 +46,7 @@
 		}
 		switch {
 		case a == nil && q.Rank == 0:
-			assert.Equal(c.t, why, dispatch.ReasonFull)
+			assert.Equal(c.t, why, dispatch.ReasonAllFull)
 			n.urgentRefused++
 		case a == nil:
 			n.othersRefused++
@@ -128,20 +128,20 @@
 // calls were refused.
 func TestUntrackedCallsEndWithinLatency(t *testing.T) {
 	d, _ := newDispatcher(1)
-	d.Others(board.Work{}, board.Work{}, start)
+	d.SetFleetWorkload(fleetload.Workload{}, fleetload.Workload{}, start)
 	now := start
 	for range 5 {
 		a := choose(t, d, dispatch.Query{Service: plain}, now)
 		now = now.Add(15 * time.Millisecond)
-		a.Answered(dispatch.Load{Running: 6, Waiting: 5, Known: true}, now)
+		a.RecordFirstBytes(dispatch.Load{Running: 6, Waiting: 5, Known: true}, now)
 		a.End(dispatch.Served, now)
 	}
 	now = now.Add(100 * time.Millisecond)
 	for range 11 {
 		choose(t, d, dispatch.Query{Service: plain}, now)
 	}
-	for _, l := range d.Work(now).Loads {
-		assert.Assert(t, l.Hidden < 1, "%+v", l)
+	for _, l := range d.OwnWorkload(now).Loads {
+		assert.Assert(t, l.Unaccounted < 1, "%+v", l)
 	}
 }
 
--- a/core/dispatch/scoring.go
+++ b/core/dispatch/scoring.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"savoryfall/core/scatter"
+	"savoryfall/core/hashmix"
 )
 
 // scoring compares the endpoints of a pool for one request.
@@ -152,7 +152,7 @@
 	assumed := int(homeCacheConfidence * float64(sharedParts(c.q.Prompt).Tokens()))
 	c.cachedTokens = make([]int, len(c.pool))
 	for i, e := range c.pool {
-		c.cachedTokens[i] = e.cache.Warm(c.q.Prompt)
+		c.cachedTokens[i] = e.cache.CachedTokens(c.q.Prompt)
 		if e == c.home {
 			c.knownCachedAtHome = c.cachedTokens[i]
 			c.cachedTokens[i] = max(c.cachedTokens[i], assumed)
@@ -176,11 +176,11 @@
 
 // rank returns the endpoint's rank for the prompt, from 0 for the first to 1 for the last, on every router alike.
 func (c *scoring) rank(e *endpoint) float64 {
-	return unitFraction(c.q.Prompt.Key() ^ e.hash)
+	return unitFraction(c.q.Prompt.RoutingKey() ^ e.hash)
 }
 
 // unitFraction hashes x to a number from 0 to 1; any changed bit of x changes it.
-func unitFraction(x uint64) float64 { return float64(scatter.Mix(x)>>11) / (1 << 53) }
+func unitFraction(x uint64) float64 { return float64(hashmix.Mix(x)>>11) / (1 << 53) }
 
 const (
 	// loadBoundFactor and loadBoundSlack limit how far above the mean an endpoint may be loaded. They are below the
@@ -199,7 +199,7 @@
 func (c *scoring) overBound(i int) bool {
 	room := max(loadBoundFactor*c.meanWithDraining, c.meanLoad) + loadBoundSlack - c.meanLoad
 	if c.engine && len(c.q.Prompt) > 0 {
-		room *= minRoomShare + (1-minRoomShare)*unitFraction(scatter.Mix(c.q.Prompt.Key())^c.pool[i].hash)
+		room *= minRoomShare + (1-minRoomShare)*unitFraction(hashmix.Mix(c.q.Prompt.RoutingKey())^c.pool[i].hash)
 	}
 	return c.loads[i]+1 > c.meanLoad+room
 }
@@ -239,7 +239,7 @@
 			continue
 		}
 		if !ignoreSaturation && c.saturated(e) || c.coldLimitReached(e) {
-			reason = ReasonFull
+			reason = ReasonAllFull
 			continue
 		}
 		eligible++
--- a/core/dispatch/slow_test.go
+++ b/core/dispatch/slow_test.go
@@ -55,7 +55,7 @@
 				took *= 8
 			}
 		}
-		a.Answered(dispatch.Load{}, now)
+		a.RecordFirstBytes(dispatch.Load{}, now)
 		running = append(running, open{attempt: a, ends: now.Add(took)})
 	}
 	assert.Assert(t, used[true] < 600/4/2, "%v", used)
--- a/core/dispatch/surge_test.go
+++ b/core/dispatch/surge_test.go
@@ -9,9 +9,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
 	"savoryfall/core/directory"
 	"savoryfall/core/dispatch"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/routetable"
 )
 
@@ -71,7 +71,7 @@
 		})
 	}
 	s.listed = entries
-	table := routetable.New(routetable.Contents{Services: []routetable.Service{
+	table := routetable.New(routetable.Config{Services: []routetable.Service{
 		{Name: models, Engine: true, Slots: slots, CacheTokens: 300000}, {Name: plain},
 	}})
 	for i := range routers {
@@ -201,7 +201,7 @@
 		for i := range v.running {
 			j := &v.running[i]
 			if !j.first.IsZero() && !j.first.After(now) {
-				j.attempt.Answered(dispatch.Load{Running: len(v.running), Waiting: len(v.waiting), Known: true}, j.first)
+				j.attempt.RecordFirstBytes(dispatch.Load{Running: len(v.running), Waiting: len(v.waiting), Known: true}, j.first)
 				j.first = time.Time{}
 			}
 			if !j.ends.After(now) && (next < 0 || j.ends.Before(v.running[next].ends)) {
@@ -316,7 +316,7 @@
 	now := start.Add(15 * time.Millisecond)
 	a.End(dispatch.Served, now)
 	now = now.Add(500 * time.Millisecond)
-	d.Others(urgentCalls(t, 1600, 24), board.Work{}, now)
+	d.SetFleetWorkload(urgentCalls(t, 1600, 24), fleetload.Workload{}, now)
 	choose(t, d, dispatch.Query{Service: plain, Rank: 1}, now)
 }
 
@@ -334,19 +334,19 @@
 	for range 20 {
 		choose(t, d, dispatch.Query{Service: plain}, now).End(dispatch.Refused, now)
 	}
-	d.Others(urgentCalls(t, 4800, 40), board.Work{}, now)
+	d.SetFleetWorkload(urgentCalls(t, 4800, 40), fleetload.Workload{}, now)
 	a, why := d.Choose(dispatch.Query{Service: plain, Rank: 1}, now)
 	assert.Assert(t, a == nil)
 	assert.Equal(t, why, dispatch.ReasonReserved)
 }
 
 // urgentCalls returns the work of other routers: calls at a rate, and some running, spread over four endpoints.
-func urgentCalls(t *testing.T, perSecond float64, running int) board.Work {
+func urgentCalls(t *testing.T, perSecond float64, running int) fleetload.Workload {
 	other, _ := newDispatcher(4)
 	for range running {
 		choose(t, other, dispatch.Query{Service: plain}, start)
 	}
-	w := other.Work(start)
+	w := other.OwnWorkload(start)
 	w.Demands[0].Came = float32(perSecond * 0.5 / math.Ln2)
 	return w
 }
@@ -357,12 +357,12 @@
 	d, _ := newDispatcher(1)
 	a := choose(t, d, dispatch.Query{Service: plain}, start)
 	now := start.Add(15 * time.Millisecond)
-	own := d.Work(start)
-	a.Answered(dispatch.Load{}, now)
+	own := d.OwnWorkload(start)
+	a.RecordFirstBytes(dispatch.Load{}, now)
 	a.End(dispatch.Served, now)
-	total := board.Work{Loads: []board.Load{{Endpoint: own.Loads[0].Endpoint, Hidden: 12}}}
-	d.Others(total, board.Work{}, now)
+	total := fleetload.Workload{Loads: []fleetload.Load{{Endpoint: own.Loads[0].Endpoint, Unaccounted: 12}}}
+	d.SetFleetWorkload(total, fleetload.Workload{}, now)
 	_, why := d.Choose(dispatch.Query{Service: plain}, now)
-	assert.Equal(t, why, dispatch.ReasonFull)
+	assert.Equal(t, why, dispatch.ReasonAllFull)
 	choose(t, d, dispatch.Query{Service: plain}, now.Add(200*time.Millisecond))
 }
--- a/core/drain/domains.go
+++ b/core/drain/domains.go
@@ -61,8 +61,8 @@
 	return changed
 }
 
-// Drained returns the drained failure domains, sorted.
-func (d *Domains) Drained() (domains []string) {
+// List returns the drained failure domains, sorted.
+func (d *Domains) List() (domains []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for domain, o := range d.orders {
--- a/core/drain/domains_test.go
+++ b/core/drain/domains_test.go
@@ -22,10 +22,10 @@
 	assert.Assert(t, d.Apply(drained("a", 5)))
 	assert.Assert(t, !d.Apply(drained("a", 6)))
 	assert.Assert(t, !d.Apply(resumed("a", 4)))
-	assert.DeepEqual(t, d.Drained(), []string{"a"})
+	assert.DeepEqual(t, d.List(), []string{"a"})
 	assert.Assert(t, d.Apply(resumed("a", 7)))
 	assert.Assert(t, !d.Apply(drained("a", 6)))
-	assert.Equal(t, len(d.Drained()), 0)
+	assert.Equal(t, len(d.List()), 0)
 }
 
 // Guards against a domain that stays drained for good because its order was written and revoked before it was read.
@@ -33,7 +33,7 @@
 	var d drain.Domains
 	assert.Assert(t, !d.Apply(resumed("a", 3)))
 	assert.Assert(t, !d.Replace(nil, nil))
-	assert.Equal(t, len(d.Drained()), 0)
+	assert.Equal(t, len(d.List()), 0)
 }
 
 // Guards against a domain that stays drained after the record that ended its drain was trimmed.
@@ -42,7 +42,7 @@
 	d.Apply(drained("a", 5))
 	d.Apply(drained("b", 6))
 	assert.Assert(t, d.Replace([]drain.Order{drained("b", 6)}, nil))
-	assert.DeepEqual(t, d.Drained(), []string{"b"})
+	assert.DeepEqual(t, d.List(), []string{"b"})
 	assert.Assert(t, !d.Replace(nil, []string{"b"}))
-	assert.DeepEqual(t, d.Drained(), []string{"b"})
+	assert.DeepEqual(t, d.List(), []string{"b"})
 }
--- a/core/endpoint/endpoint.go
+++ b/core/endpoint/endpoint.go
@@ -28,15 +28,15 @@
 
 // Read reads an endpoint from its TOML table and reports invalid values to the table.
 func Read(t *tomldoc.Table) (e Endpoint) {
-	e.name = t.Required("name")
+	e.name = t.RequiredString("name")
 	e.kind = t.Choice("kind", KindEngine, KindEngine, KindService)
-	e.address = t.Required("address")
-	e.failureDomain = t.Required("failureDomain")
-	e.models = t.Texts("models")
-	e.service = t.Text("service", "")
-	e.weight = t.Real("weight", 1, 0.001, 1000)
-	e.checksFence = t.Flag("checksFence", false)
-	e.echoesAttemptID = t.Flag("echoes", e.kind == KindEngine)
+	e.address = t.RequiredString("address")
+	e.failureDomain = t.RequiredString("failureDomain")
+	e.models = t.Strings("models")
+	e.service = t.String("service", "")
+	e.weight = t.Float("weight", 1, 0.001, 1000)
+	e.checksFence = t.Bool("checksFence", false)
+	e.echoesAttemptID = t.Bool("echoes", e.kind == KindEngine)
 	e.validate(t)
 	return e
 }
@@ -44,13 +44,13 @@
 func (e Endpoint) validate(t *tomldoc.Table) {
 	host, _, err := net.SplitHostPort(e.address)
 	if e.address != "" && (err != nil || net.ParseIP(host) == nil) {
-		t.Fault("address", e.address, "an IP number and a port, such as 10.0.0.7:8000")
+		t.AddError("address", e.address, "an IP number and a port, such as 10.0.0.7:8000")
 	}
 	if e.kind == KindEngine && len(e.models) == 0 {
-		t.Fault("models", "nothing", "the models that the engine may serve")
+		t.AddError("models", "nothing", "the models that the engine may serve")
 	}
 	if e.kind == KindService && e.service == "" {
-		t.Fault("service", "nothing", "the name of the plain service")
+		t.AddError("service", "nothing", "the name of the plain service")
 	}
 }
 
@@ -78,6 +78,6 @@
 // ChecksFence returns whether the endpoint rejects an order with an outdated fencing token.
 func (e Endpoint) ChecksFence() bool { return e.checksFence }
 
-// Echoes returns whether the endpoint repeats the attempt ID in its responses, so that a response to another attempt
+// EchoesAttemptID returns whether the endpoint repeats the attempt ID in its responses, so that a response to another attempt
 // is detected.
-func (e Endpoint) Echoes() bool { return e.echoesAttemptID }
+func (e Endpoint) EchoesAttemptID() bool { return e.echoesAttemptID }
--- a/core/fairness/shares.go
+++ b/core/fairness/shares.go
@@ -20,8 +20,8 @@
 	updatedAt       time.Time
 }
 
-// Saw counts a request of the account.
-func (s *Shares) Saw(account string, now time.Time) {
+// Observe counts a request of the account.
+func (s *Shares) Observe(account string, now time.Time) {
 	s.decay(now)
 	if s.demandByAccount == nil {
 		s.demandByAccount = map[string]float64{}
@@ -42,11 +42,11 @@
 	}
 }
 
-// Chance returns the probability, from 0 to 1, of admitting a request of the account when only a fraction of all
+// AdmitProbability returns the probability, from 0 to 1, of admitting a request of the account when only a fraction of all
 // requests can be admitted. The shares are max-min fair: an account that sends many times its usual load is cut down to
 // what the others leave, and accounts that demand less than an equal share lose nothing. With the same probability for
 // everyone, the surge of one account turned away just as large a fraction of all other accounts' requests.
-func (s *Shares) Chance(account string, fraction float64, now time.Time) float64 {
+func (s *Shares) AdmitProbability(account string, fraction float64, now time.Time) float64 {
 	s.decay(now)
 	demand := s.demandByAccount[account]
 	if fraction >= 1 || demand <= 0 || len(s.demandByAccount) < 2 {
--- a/core/fairness/shares_test.go
+++ b/core/fairness/shares_test.go
@@ -24,7 +24,7 @@
 func observe(s *fairness.Shares, requests map[string]int) {
 	for account, n := range requests {
 		for range n {
-			s.Saw(account, start)
+			s.Observe(account, start)
 		}
 	}
 }
@@ -39,11 +39,11 @@
 		requests[fmt.Sprint("small", i)] = 10
 	}
 	observe(&s, requests)
-	assert.Equal(t, s.Chance("small3", 0.8, start), 1.0)
-	large := s.Chance("large", 0.8, start)
+	assert.Equal(t, s.AdmitProbability("small3", 0.8, start), 1.0)
+	large := s.AdmitProbability("large", 0.8, start)
 	assert.Assert(t, large > 0.57 && large < 0.58, "%v", large)
-	assert.Assert(t, s.Chance("small3", 0.5, start) > 0.8)
-	assert.Equal(t, s.Chance("unknown", 0.5, start), 0.5)
+	assert.Assert(t, s.AdmitProbability("small3", 0.5, start) > 0.8)
+	assert.Equal(t, s.AdmitProbability("unknown", 0.5, start), 0.5)
 }
 
 // Old demand decays: an account with a past surge is treated like the others again.
@@ -52,10 +52,10 @@
 	observe(&s, map[string]int{"large": 80, "small": 10})
 	later := start.Add(15 * time.Second)
 	for range 10 {
-		s.Saw("large", later)
-		s.Saw("small", later)
+		s.Observe("large", later)
+		s.Observe("small", later)
 	}
-	assert.Assert(t, s.Chance("large", 0.5, later) > 0.49)
+	assert.Assert(t, s.AdmitProbability("large", 0.5, later) > 0.49)
 }
 
 // The sum of the demands used to be taken in map order, so its last digit, and with it the probability, varied between
@@ -65,11 +65,11 @@
 	later := start
 	for i := range 60 {
 		later = later.Add(7 * time.Millisecond)
-		s.Saw(fmt.Sprint(i%20), later)
+		s.Observe(fmt.Sprint(i%20), later)
 	}
-	want := s.Chance("19", 0.3, later)
+	want := s.AdmitProbability("19", 0.3, later)
 	for range 200 {
-		assert.Equal(t, s.Chance("19", 0.3, later), want)
+		assert.Equal(t, s.AdmitProbability("19", 0.3, later), want)
 	}
 }
 
@@ -86,12 +86,12 @@
 		fraction := rapid.Float64Range(0.01, 0.99).Draw(t, "fraction")
 		total, admitted := 0.0, 0.0
 		for account, n := range requests {
-			chance := s.Chance(account, fraction, start)
+			chance := s.AdmitProbability(account, fraction, start)
 			assert.Assert(t, chance > 0 && chance <= 1)
 			total += float64(n)
 			admitted += chance * float64(n)
 			for other, m := range requests {
-				assert.Assert(t, m >= n || s.Chance(other, fraction, start) >= chance-1e-9)
+				assert.Assert(t, m >= n || s.AdmitProbability(other, fraction, start) >= chance-1e-9)
 			}
 		}
 		assert.Assert(t, admitted > fraction*total-1e-6 && admitted < fraction*total+1e-6, "%v of %v", admitted, fraction*total)
--- a/core/board/board.go
+++ b/core/fleetload/board.go
@@ -1,4 +1,4 @@
-package board
+package fleetload
 
 import (
 	"maps"
@@ -15,15 +15,15 @@
 	Endpoint uint32
 	// Running counts the requests in progress, Unread the prompt tokens of those whose response has not started
 	// yet.
-	Running int
-	Unread  int
-	// Bad counts failures and All counts attempts; both decay over time.
-	Bad float32
-	All float32
-	// Hidden counts the requests that the endpoint reports beyond those that the routers account for: some
+	Running             int
+	PendingPromptTokens int
+	// Failures counts failures and All counts attempts; both decay over time.
+	Failures float32
+	Attempts float32
+	// Unaccounted counts the requests that the endpoint reports beyond those that the routers account for: some
 	// endpoints keep working for clients that have disconnected. When several routers report a value, the highest
 	// is used.
-	Hidden float32
+	Unaccounted float32
 }
 
 // Demand is the demand for a service at one priority rank, from one router or from all routers together.
@@ -36,34 +36,34 @@
 	Running int
 }
 
-// Work is the load and demand of one router or of all routers together.
-type Work struct {
+// Workload is the load and demand of one router or of all routers together.
+type Workload struct {
 	Loads   []Load
 	Demands []Demand
 }
 
-// Read states that an endpoint has processed the shared parts of a prompt and therefore has them in its cache.
-type Read struct {
+// PrefixRead states that an endpoint has processed the shared parts of a prompt and therefore has them in its cache.
+type PrefixRead struct {
 	Endpoint uint32
 	Parts    prompt.Chain
 }
 
-// Board aggregates the reports of routers; the zero value is empty.
-type Board struct {
+// Aggregator aggregates the reports of routers; the zero value is empty.
+type Aggregator struct {
 	mu        sync.Mutex
 	routers   map[string]*routerReport
-	reads     []Read
+	reads     []PrefixRead
 	firstRead int64
 	seenReads map[partKey]bool
 	// remote is the load of the routers that report to other hubs, as derived from the total that this hub's own
 	// hub sent at remoteAt.
-	remote   Work
+	remote   Workload
 	remoteAt time.Time
 }
 
 type routerReport struct {
 	receivedAt time.Time
-	work       Work
+	work       Workload
 }
 
 // partKey identifies a Read by its endpoint and the last of its shared prompt parts.
@@ -81,9 +81,9 @@
 	maxReads = 8192
 )
 
-// Take replaces the router's previous report, adds its new reads, and returns those of the reads that were not
+// Update replaces the router's previous report, adds its new reads, and returns those of the reads that were not
 // known before.
-func (b *Board) Take(router string, work Work, reads []Read, now time.Time) (fresh []Read) {
+func (b *Aggregator) AddReport(router string, work Workload, reads []PrefixRead, now time.Time) (fresh []PrefixRead) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.routers == nil {
@@ -93,23 +93,23 @@
 	return b.addReads(reads)
 }
 
-// Hear adds reads from routers that report to other hubs.
-func (b *Board) Hear(reads []Read) {
+// AddReads adds reads from routers that report to other hubs.
+func (b *Aggregator) AddReads(reads []PrefixRead) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addReads(reads)
 }
 
-// HearTotal sets the total load of all routers, as sent by this hub's own hub. The part of the total that this hub
+// SetFleetTotal sets the total load of all routers, as sent by this hub's own hub. The part of the total that this hub
 // reported itself is subtracted so that it isn't counted twice.
-func (b *Board) HearTotal(total, reported Work, now time.Time) {
+func (b *Aggregator) SetFleetTotal(total, reported Workload, now time.Time) {
 	others := total.minus(reported)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.remote, b.remoteAt = others, now
 }
 
-func (b *Board) addReads(reads []Read) (fresh []Read) {
+func (b *Aggregator) addReads(reads []PrefixRead) (fresh []PrefixRead) {
 	for _, r := range reads {
 		if b.addRead(r) {
 			fresh = append(fresh, r)
@@ -118,7 +118,7 @@
 	return fresh
 }
 
-func (b *Board) addRead(r Read) (fresh bool) {
+func (b *Aggregator) addRead(r PrefixRead) (fresh bool) {
 	if len(r.Parts) == 0 {
 		return false
 	}
@@ -136,16 +136,18 @@
 		for _, old := range b.reads[:dropped] {
 			delete(b.seenReads, keyOf(old))
 		}
-		b.reads = append([]Read(nil), b.reads[dropped:]...)
+		b.reads = append([]PrefixRead(nil), b.reads[dropped:]...)
 		b.firstRead += int64(dropped)
 	}
 	return true
 }
 
-func keyOf(r Read) partKey { return partKey{endpoint: r.Endpoint, part: r.Parts[len(r.Parts)-1].ID} }
+func keyOf(r PrefixRead) partKey {
+	return partKey{endpoint: r.Endpoint, part: r.Parts[len(r.Parts)-1].ID}
+}
 
 // ReadsSince returns the reads from the given sequence number on, and the number to continue from.
-func (b *Board) ReadsSince(number int64) (reads []Read, next int64) {
+func (b *Aggregator) ReadsSince(number int64) (reads []PrefixRead, next int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next = b.firstRead + int64(len(b.reads))
@@ -155,12 +157,12 @@
 	if number >= next {
 		return nil, next
 	}
-	return append([]Read(nil), b.reads[number-b.firstRead:]...), next
+	return append([]PrefixRead(nil), b.reads[number-b.firstRead:]...), next
 }
 
 // Totals returns the sum of all current reports, per endpoint and per priority rank of a service, and the number
 // of routers that report to this hub.
-func (b *Board) Totals(now time.Time) (work Work, routers int) {
+func (b *Aggregator) Totals(now time.Time) (work Workload, routers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum, routers := b.sum(now)
@@ -170,24 +172,24 @@
 	return sum.work, routers
 }
 
-// Reported returns the sum of the current reports of the routers that report to this hub, including this router,
+// LocalTotals returns the sum of the current reports of the routers that report to this hub, including this router,
 // and their number.
-func (b *Board) Reported(now time.Time) (work Work, routers int) {
+func (b *Aggregator) LocalTotals(now time.Time) (work Workload, routers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum, routers := b.sum(now)
 	return sum.work, routers
 }
 
-// Reporting returns whether the hub has a current report of the router.
-func (b *Board) Reporting(router string, now time.Time) bool {
+// HasReport returns whether the hub has a current report of the router.
+func (b *Aggregator) HasReport(router string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.routers[router]
 	return r != nil && now.Sub(r.receivedAt) <= ReportTTL
 }
 
-func (b *Board) sum(now time.Time) (sum accumulator, routers int) {
+func (b *Aggregator) sum(now time.Time) (sum accumulator, routers int) {
 	// Floating-point sums depend on the order of addition, so the reports are added in a fixed order: otherwise the
 	// same reports would not always give the same totals.
 	for _, name := range slices.Sorted(maps.Keys(b.routers)) {
@@ -204,7 +206,7 @@
 
 // accumulator sums up loads and demands; the maps hold the index of each endpoint and each rank in the sum.
 type accumulator struct {
-	work        Work
+	work        Workload
 	loadIndex   map[uint32]int
 	demandIndex map[rankKey]int
 }
@@ -214,7 +216,7 @@
 	rank    int
 }
 
-func (t *accumulator) add(w Work) {
+func (t *accumulator) add(w Workload) {
 	if t.loadIndex == nil {
 		t.loadIndex, t.demandIndex = map[uint32]int{}, map[rankKey]int{}
 	}
@@ -242,15 +244,15 @@
 
 func (l *Load) add(other Load) {
 	l.Running += other.Running
-	l.Unread += other.Unread
-	l.Bad += other.Bad
-	l.All += other.All
-	l.Hidden = max(l.Hidden, other.Hidden)
+	l.PendingPromptTokens += other.PendingPromptTokens
+	l.Failures += other.Failures
+	l.Attempts += other.Attempts
+	l.Unaccounted = max(l.Unaccounted, other.Unaccounted)
 }
 
 // minus subtracts a part of the load. The part may be newer than the whole, so no difference goes below zero.
 // Hidden is not subtracted: it is reported by the endpoint itself and is the same for all routers.
-func (w Work) minus(part Work) (difference Work) {
+func (w Workload) minus(part Workload) (difference Workload) {
 	partLoads := map[uint32]Load{}
 	for _, l := range part.Loads {
 		partLoads[l.Endpoint] = l
@@ -258,8 +260,8 @@
 	for _, l := range w.Loads {
 		subtrahend := partLoads[l.Endpoint]
 		difference.Loads = append(difference.Loads, Load{
-			Endpoint: l.Endpoint, Running: max(l.Running-subtrahend.Running, 0), Unread: max(l.Unread-subtrahend.Unread, 0),
-			Bad: max(l.Bad-subtrahend.Bad, 0), All: max(l.All-subtrahend.All, 0), Hidden: l.Hidden,
+			Endpoint: l.Endpoint, Running: max(l.Running-subtrahend.Running, 0), PendingPromptTokens: max(l.PendingPromptTokens-subtrahend.PendingPromptTokens, 0),
+			Failures: max(l.Failures-subtrahend.Failures, 0), Attempts: max(l.Attempts-subtrahend.Attempts, 0), Unaccounted: l.Unaccounted,
 		})
 	}
 	partDemands := map[rankKey]Demand{}
--- a/core/board/board_test.go
+++ b/core/fleetload/board_test.go
@@ -1,4 +1,4 @@
-package board_test
+package fleetload_test
 
 import (
 	"fmt"
@@ -7,23 +7,23 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
+	"savoryfall/core/fleetload"
 )
 
 var start = time.Unix(1000, 0)
 
 // boardWithReports returns a board that has reports of the given number of routers, with decayed counts for each
 // endpoint.
-func boardWithReports(routers, endpoints int) *board.Board {
-	b := &board.Board{}
+func boardWithReports(routers, endpoints int) *fleetload.Aggregator {
+	b := &fleetload.Aggregator{}
 	for i := range routers {
-		var w board.Work
+		var w fleetload.Workload
 		for e := range endpoints {
 			decayed := 1 / float32(1+i+e)
-			w.Loads = append(w.Loads, board.Load{Endpoint: uint32(e), Running: 1, Bad: decayed, All: 3 * decayed})
-			w.Demands = append(w.Demands, board.Demand{Service: 1, Rank: e, Came: decayed})
+			w.Loads = append(w.Loads, fleetload.Load{Endpoint: uint32(e), Running: 1, Failures: decayed, Attempts: 3 * decayed})
+			w.Demands = append(w.Demands, fleetload.Demand{Service: 1, Rank: e, Came: decayed})
 		}
-		b.Take(fmt.Sprint("vm", i), w, nil, start)
+		b.AddReport(fmt.Sprint("vm", i), w, nil, start)
 	}
 	return b
 }
--- a/core/board/changes.go
+++ b/core/fleetload/changes.go
@@ -1,4 +1,4 @@
-package board
+package fleetload
 
 import (
 	"sync"
@@ -12,10 +12,10 @@
 	Usable bool
 }
 
-// Changes keeps the latest change of each endpoint under an increasing version, for routers that follow the
+// ChangeLog keeps the latest change of each endpoint under an increasing version, for routers that follow the
 // endpoints through the hub. Heartbeats that change nothing, which are most of the records written, are never
 // added. The zero value is empty.
-type Changes struct {
+type ChangeLog struct {
 	mu      sync.Mutex
 	byID    map[string]versionedChange
 	version int64
@@ -26,8 +26,8 @@
 	version int64
 }
 
-// Put records a change.
-func (c *Changes) Put(change Change) {
+// Add records a change.
+func (c *ChangeLog) Add(change Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byID == nil {
@@ -38,7 +38,7 @@
 }
 
 // Since returns the changes after the given version, and the current version.
-func (c *Changes) Since(after int64) (changes []Change, version int64) {
+func (c *ChangeLog) Since(after int64) (changes []Change, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, entry := range c.byID {
--- a/core/board/ledger.go
+++ b/core/fleetload/ledger.go
@@ -1,4 +1,4 @@
-package board
+package fleetload
 
 import (
 	"math"
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Ledger versions the total load of each endpoint, so that a router is sent only what has changed since the
+// VersionedTotals versions the total load of each endpoint, so that a router is sent only what has changed since the
 // version it has. The zero value is empty.
-type Ledger struct {
+type VersionedTotals struct {
 	mu         sync.Mutex
 	byEndpoint map[uint32]*versionedLoad
 	demands    []Demand
@@ -26,15 +26,15 @@
 // cost the square of the number of routers.
 const totalsMaxAge = 40 * time.Millisecond
 
-// Due returns whether the totals must be updated with Take.
-func (l *Ledger) Due(now time.Time) bool {
+// NeedsUpdate returns whether the totals must be updated with Take.
+func (l *VersionedTotals) NeedsUpdate(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.updatedAt.IsZero() || now.Sub(l.updatedAt) >= totalsMaxAge
 }
 
-// Take stores new totals and gives a new version to each load that has changed.
-func (l *Ledger) Take(total Work, now time.Time) {
+// Update stores new totals and gives a new version to each load that has changed.
+func (l *VersionedTotals) Update(total Workload, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byEndpoint == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (l *Ledger) put(load Load) {
+func (l *VersionedTotals) put(load Load) {
 	old := l.byEndpoint[load.Endpoint]
 	if old != nil && old.load == load {
 		return
@@ -64,7 +64,7 @@
 
 // Since returns the loads that changed after the given version, all current demands, and the current version. An
 // endpoint that has become idle is included once, with a zero load.
-func (l *Ledger) Since(after int64) (delta Work, version int64) {
+func (l *VersionedTotals) Since(after int64) (delta Workload, version int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, current := range l.byEndpoint {
@@ -77,9 +77,9 @@
 	return delta, l.version
 }
 
-// Merge applies the changes that a router received to the state that it had; full means that they are the complete
+// ApplyDelta applies the changes that a router received to the state that it had; full means that they are the complete
 // state.
-func (w Work) Merge(changed Work, full bool) (merged Work) {
+func (w Workload) ApplyDelta(changed Workload, full bool) (merged Workload) {
 	merged.Demands = changed.Demands
 	if full {
 		merged.Loads = changed.Loads
@@ -104,7 +104,7 @@
 
 // rounded reduces the precision of the decaying counts, so that decay alone does not make every load a change.
 func (l Load) rounded() Load {
-	l.Bad, l.All, l.Hidden = rounded(l.Bad), rounded(l.All), rounded(l.Hidden)
+	l.Failures, l.Attempts, l.Unaccounted = rounded(l.Failures), rounded(l.Attempts), rounded(l.Unaccounted)
 	return l
 }
 
--- a/core/board/ledger_test.go
+++ b/core/fleetload/ledger_test.go
@@ -1,4 +1,4 @@
-package board_test
+package fleetload_test
 
 import (
 	"testing"
@@ -6,33 +6,33 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
+	"savoryfall/core/fleetload"
 )
 
 // A router that receives only the changes ends up with the same loads as one that receives the full totals,
 // including those of endpoints that have become idle in between.
 func TestDeltasMatchFullTotals(t *testing.T) {
-	var l board.Ledger
-	var received board.Work
+	var l fleetload.VersionedTotals
+	var received fleetload.Workload
 	var number int64
 	for round := range 20 {
-		b := &board.Board{}
-		var w board.Work
+		b := &fleetload.Aggregator{}
+		var w fleetload.Workload
 		for e := range 30 {
 			if (e+round)%3 > 0 {
-				w.Loads = append(w.Loads, board.Load{Endpoint: uint32(e), Running: 1 + e*round%5, All: float32(e) / 7})
+				w.Loads = append(w.Loads, fleetload.Load{Endpoint: uint32(e), Running: 1 + e*round%5, Attempts: float32(e) / 7})
 			}
 		}
-		b.Take("vm", w, nil, start)
+		b.AddReport("vm", w, nil, start)
 		total, _ := b.Totals(start)
-		l.Take(total, start)
-		var changed board.Work
+		l.Update(total, start)
+		var changed fleetload.Workload
 		since := number
 		changed, number = l.Since(number)
-		received = received.Merge(changed, since == 0)
+		received = received.ApplyDelta(changed, since == 0)
 		full, _ := l.Since(0)
 		assert.Equal(t, len(received.Loads), len(full.Loads))
-		want := map[uint32]board.Load{}
+		want := map[uint32]fleetload.Load{}
 		for _, load := range full.Loads {
 			want[load.Endpoint] = load
 		}
@@ -44,16 +44,16 @@
 
 // Decaying counts are off by at most 1/16, and decay alone seldom changes a load.
 func TestDecayRarelyCausesChanges(t *testing.T) {
-	var l board.Ledger
+	var l fleetload.VersionedTotals
 	changes, v := 0, float32(10)
 	var number int64
 	for range 100 {
-		l.Take(board.Work{Loads: []board.Load{{Endpoint: 1, Running: 1, All: v}}}, start)
-		var w board.Work
+		l.Update(fleetload.Workload{Loads: []fleetload.Load{{Endpoint: 1, Running: 1, Attempts: v}}}, start)
+		var w fleetload.Workload
 		w, number = l.Since(number)
 		changes += len(w.Loads)
 		full, _ := l.Since(0)
-		assert.Assert(t, full.Loads[0].All >= v*15/16 && full.Loads[0].All <= v*17/16, "%v of %v", full.Loads[0].All, v)
+		assert.Assert(t, full.Loads[0].Attempts >= v*15/16 && full.Loads[0].Attempts <= v*17/16, "%v of %v", full.Loads[0].Attempts, v)
 		v *= 0.99
 	}
 	assert.Assert(t, changes < 20, "%d", changes)
@@ -62,18 +62,18 @@
 // Three hubs sum up the reports of their routers and get the total of the fleet from the first hub. Each must know
 // the load of all routers and count none of them twice.
 func TestHubLevelsCountEachRouterOnce(t *testing.T) {
-	first := &board.Board{}
-	hubs := []*board.Board{{}, {}, {}}
+	first := &fleetload.Aggregator{}
+	hubs := []*fleetload.Aggregator{{}, {}, {}}
 	for i, h := range hubs {
-		h.Take("a", board.Work{Loads: []board.Load{{Endpoint: 1, Running: 1 + i}}, Demands: []board.Demand{{Service: 1, Running: 1}}}, nil, start)
-		h.Take("b", board.Work{Loads: []board.Load{{Endpoint: 1, Running: 10}, {Endpoint: uint32(2 + i), Running: 1}}}, nil, start)
+		h.AddReport("a", fleetload.Workload{Loads: []fleetload.Load{{Endpoint: 1, Running: 1 + i}}, Demands: []fleetload.Demand{{Service: 1, Running: 1}}}, nil, start)
+		h.AddReport("b", fleetload.Workload{Loads: []fleetload.Load{{Endpoint: 1, Running: 10}, {Endpoint: uint32(2 + i), Running: 1}}}, nil, start)
 	}
 	for round := range 2 {
 		for i, h := range hubs {
-			reported, _ := h.Reported(start)
-			first.Take(string(rune('x'+i)), reported, nil, start)
+			reported, _ := h.LocalTotals(start)
+			first.AddReport(string(rune('x'+i)), reported, nil, start)
 			total, _ := first.Totals(start)
-			h.HearTotal(total, reported, start)
+			h.SetFleetTotal(total, reported, start)
 		}
 		if round == 0 {
 			continue
@@ -87,11 +87,11 @@
 		}
 	}
 	// A total older than ReportTTL does not count.
-	total, _ := hubs[0].Totals(start.Add(board.ReportTTL + time.Millisecond))
+	total, _ := hubs[0].Totals(start.Add(fleetload.ReportTTL + time.Millisecond))
 	assert.Equal(t, len(total.Loads), 0)
 }
 
-func running(w board.Work, endpoint uint32) int {
+func running(w fleetload.Workload, endpoint uint32) int {
 	for _, l := range w.Loads {
 		if l.Endpoint == endpoint {
 			return l.Running
--- a/core/scatter/doc.go
+++ b/core/hashmix/doc.go
@@ -1,2 +1,2 @@
 // Package scatter spreads hashes evenly.
-package scatter
+package hashmix
--- a/core/scatter/mix.go
+++ b/core/hashmix/mix.go
@@ -1,4 +1,4 @@
-package scatter
+package hashmix
 
 // Mix is the finalizer of SplitMix64, which spreads a difference in any bit over all bits.
 func Mix(x uint64) uint64 {
--- a/core/health/table.go
+++ b/core/health/table.go
@@ -193,8 +193,8 @@
 	return Up
 }
 
-// Young reports whether the endpoint started, with an empty cache, within the given time before now.
-func (t *Table) Young(name string, within time.Duration, now time.Time) bool {
+// RecentlyStarted reports whether the endpoint started, with an empty cache, within the given time before now.
+func (t *Table) RecentlyStarted(name string, within time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.endpoints[name]
@@ -211,8 +211,8 @@
 	return ""
 }
 
-// HeardAt returns when the request that the endpoint answered last was sent.
-func (t *Table) HeardAt(name string) time.Time {
+// LastAnsweredAt returns when the request that the endpoint answered last was sent.
+func (t *Table) LastAnsweredAt(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h := t.endpoints[name]; h != nil {
@@ -221,8 +221,8 @@
 	return time.Time{}
 }
 
-// Marked reports whether the current incarnation is known to be leaving, so that the mark may be passed on to peers.
-func (t *Table) Marked(name string) bool {
+// KnownLeaving reports whether the current incarnation is known to be leaving, so that the mark may be passed on to peers.
+func (t *Table) KnownLeaving(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.endpoints[name]
--- a/core/health/table_test.go
+++ b/core/health/table_test.go
@@ -100,7 +100,7 @@
 	h.Listed("e", true)
 	h.Heard("e", "one", false, start)
 	assert.Equal(t, h.State("e", start), health.Leaving)
-	assert.Assert(t, !h.Marked("e"))
+	assert.Assert(t, !h.KnownLeaving("e"))
 	h.Listed("e", false)
 	assert.Equal(t, h.State("e", start), health.Up)
 }
@@ -114,7 +114,7 @@
 	h.Configure([]string{"old", "added"})
 	h.Heard("old", "one", false, start)
 	h.Heard("added", "one", false, start)
-	assert.Assert(t, !h.Young("old", time.Minute, start))
-	assert.Assert(t, h.Young("added", time.Minute, start))
-	assert.Assert(t, !h.Young("added", time.Minute, start.Add(time.Hour)))
+	assert.Assert(t, !h.RecentlyStarted("old", time.Minute, start))
+	assert.Assert(t, h.RecentlyStarted("added", time.Minute, start))
+	assert.Assert(t, !h.RecentlyStarted("added", time.Minute, start.Add(time.Hour)))
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -73,11 +73,11 @@
 	start := time.Unix(1_000_000, 0)
 	var log [][]byte
 	var pending []pendingAppend
-	var clocks [2]*lease.Clock
+	var clocks [2]*lease.Tracker
 	var tables [2]lease.Table
 	var actAt [2]int
 	for i := range clocks {
-		clocks[i] = lease.NewClock(fmt.Sprint("router", i), duty, lease.Terms{Term: term, Longest: longest})
+		clocks[i] = lease.NewTracker(fmt.Sprint("router", i), duty, lease.Terms{Term: term, MaxAction: longest})
 		actAt[i] = -1
 	}
 	var logLengths []int
@@ -100,8 +100,8 @@
 			}
 			l, known := tables[i].Lease(duty)
 			c.Observe(l, known, now)
-			if r, ok := c.Wanted(now); ok {
-				pending = append(pending, pendingAppend{visibleAt: n + h.delay[n], data: c.Appending(r, now).Encode()})
+			if r, ok := c.NextRecord(now); ok {
+				pending = append(pending, pendingAppend{visibleAt: n + h.delay[n], data: c.BeginAppend(r, now).Encode()})
 			}
 			_, allowed := c.MayAct(now)
 			if checkBeforeActing && allowed {
@@ -183,15 +183,15 @@
 // challenger may have read it long ago and waits from then on.
 func TestTermStartsAtTheAppendThatWasRead(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1_000_000, 0).Add(time.Duration(s) * time.Second) }
-	c := lease.NewClock("a", duty, lease.Terms{Term: term, Longest: longest})
+	c := lease.NewTracker("a", duty, lease.Terms{Term: term, MaxAction: longest})
 	c.Observe(lease.Lease{}, false, at(0))
-	acquire, _ := c.Wanted(at(0))
-	first := c.Appending(acquire, at(0))
+	acquire, _ := c.NextRecord(at(0))
+	first := c.BeginAppend(acquire, at(0))
 	c.Observe(lease.Lease{Holder: "a", Seq: first.Seq}, true, at(0))
-	renew, ok := c.Wanted(at(4))
+	renew, ok := c.NextRecord(at(4))
 	assert.Assert(t, ok)
-	older := c.Appending(renew, at(4))
-	c.Appending(renew, at(8))
+	older := c.BeginAppend(renew, at(4))
+	c.BeginAppend(renew, at(8))
 	c.Observe(lease.Lease{Holder: "a", LastOffset: 1, Seq: older.Seq}, true, at(9))
 	_, allowed := c.MayAct(at(13))
 	assert.Assert(t, allowed)
--- a/core/ledger/digest.go
+++ b/core/ledger/digest.go
@@ -52,9 +52,9 @@
 // tokenUnit is chosen so that most token counts fit in one or two bytes.
 const tokenUnit = 16
 
-// Peer stores the digest of a peer. It drops a digest with a different fingerprint, because its indexes would refer to
+// SetPeerLoad stores the digest of a peer. It drops a digest with a different fingerprint, because its indexes would refer to
 // other endpoints.
-func (l *Ledger) Peer(name string, fingerprint uint32, data []byte, at time.Time) (ok bool) {
+func (l *Ledger) SetPeerLoad(name string, fingerprint uint32, data []byte, at time.Time) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d, ok := parsePeerLoad(data, len(l.loads))
@@ -128,8 +128,8 @@
 	}
 }
 
-// Expire drops the digests of peers that have not sent one for digestTTL.
-func (l *Ledger) Expire(now time.Time) {
+// ExpirePeers drops the digests of peers that have not sent one for digestTTL.
+func (l *Ledger) ExpirePeers(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, d := range l.peers {
@@ -144,8 +144,8 @@
 	l.recomputeTotals()
 }
 
-// Forget drops the digest of a peer that is known to be gone.
-func (l *Ledger) Forget(name string) {
+// RemovePeer drops the digest of a peer that is known to be gone.
+func (l *Ledger) RemovePeer(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d := l.peers[name]; d != nil {
--- a/core/ledger/flight.go
+++ b/core/ledger/flight.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-// Flight is a request of this router that is in progress on an endpoint.
-type Flight struct {
+// InFlight is a request of this router that is in progress on an endpoint.
+type InFlight struct {
 	ledger *Ledger
 	name   string
 	tokens float64
 	ended  bool
 }
 
-// Send records a request sent to an endpoint, with its expected cost in tokens.
-func (l *Ledger) Send(name string, tokens float64) *Flight {
-	f := &Flight{ledger: l, name: name, tokens: tokens}
+// StartRequest records a request sent to an endpoint, with its expected cost in tokens.
+func (l *Ledger) StartRequest(name string, tokens float64) *InFlight {
+	f := &InFlight{ledger: l, name: name, tokens: tokens}
 	l.adjustOwn(name, 1, tokens)
 	return f
 }
 
-// Expect replaces the expected remaining cost in tokens.
-func (f *Flight) Expect(tokens float64) {
+// SetExpectedTokens replaces the expected remaining cost in tokens.
+func (f *InFlight) SetExpectedTokens(tokens float64) {
 	f.ledger.adjustOwn(f.name, 0, tokens-f.tokens)
 	f.tokens = tokens
 }
 
 // End removes the request from the load of the endpoint; further calls do nothing.
-func (f *Flight) End() {
+func (f *InFlight) End() {
 	if f.ended {
 		return
 	}
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -251,19 +251,19 @@
 	Usable     int
 	Members    int
 	// Hash is the hash of the endpoint name. First reports whether the endpoint ranks highest for the key.
-	Hash  uint64
-	First bool
+	Hash          uint64
+	HighestRanked bool
 }
 
 // Query describes a request to place.
 type Query struct {
-	Pool      string
-	Key       uint64
-	Warm      string
-	Returning bool
-	Worth     float64
-	Tokens    float64
-	Exclude   []string
+	Pool         string
+	Key          uint64
+	WarmEndpoint string
+	Returning    bool
+	CacheValue   float64
+	Tokens       float64
+	Exclude      []string
 }
 
 // Choose places a request with the policy, skipping excluded endpoints.
@@ -276,10 +276,10 @@
 	}
 	members := p.members
 	defer l.exclude(q.Exclude)()
-	r := placement.Request{Key: q.Key, Warm: placement.NoCandidate, Returning: q.Returning, Worth: q.Worth, Tokens: q.Tokens}
+	r := placement.Request{Key: q.Key, WarmEndpoint: placement.NoCandidate, Returning: q.Returning, CacheValue: q.CacheValue, Tokens: q.Tokens}
 	r.Totals = p.totals
-	if i, ok := l.indexByName[q.Warm]; ok && slices.Contains(l.loads[i].pools, p) {
-		r.Warm = int(i)
+	if i, ok := l.indexByName[q.WarmEndpoint]; ok && slices.Contains(l.loads[i].pools, p) {
+		r.WarmEndpoint = int(i)
 	}
 	i, reason := policy.Choose(r, l.candidates, members)
 	c = Choice{Members: len(members), Usable: r.Totals.Usable, Reason: reason}
@@ -288,7 +288,7 @@
 		c.Endpoint = l.loads[i].name
 		c.Requests, c.Tokens = l.candidates[i].Requests(), l.candidates[i].Tokens()
 		c.Hash = l.candidates[i].Hash()
-		c.First = reason == placement.ReasonRank || i == placement.First(q.Key, r.Totals, l.candidates, members)
+		c.HighestRanked = reason == placement.ReasonRank || i == placement.HighestRanked(q.Key, r.Totals, l.candidates, members)
 	}
 	return c
 }
@@ -314,8 +314,8 @@
 	}
 }
 
-// State is the load of one endpoint as shown to operators.
-type State struct {
+// EndpointState is the load of one endpoint as shown to operators.
+type EndpointState struct {
 	Endpoint string  `json:"endpoint"`
 	Usable   bool    `json:"usable"`
 	Requests float64 `json:"requests"`
@@ -326,12 +326,12 @@
 }
 
 // States returns the load of all endpoints, sorted by name.
-func (l *Ledger) States() (states []State) {
+func (l *Ledger) States() (states []EndpointState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, e := range l.loads {
 		c := &l.candidates[i]
-		states = append(states, State{
+		states = append(states, EndpointState{
 			Endpoint: e.name, Usable: c.Usable(), Requests: c.Requests(), Tokens: c.Tokens(),
 			Own: e.requests, Peers: e.peerRequests, Reported: e.reported,
 		})
@@ -339,8 +339,8 @@
 	return states
 }
 
-// ByHash returns the name of the first endpoint whose name hash satisfies match, or an empty string.
-func (l *Ledger) ByHash(match func(hash uint64) bool) (name string) {
+// FindByHash returns the name of the first endpoint whose name hash satisfies match, or an empty string.
+func (l *Ledger) FindByHash(match func(hash uint64) bool) (name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.candidates {
@@ -351,12 +351,12 @@
 	return ""
 }
 
-// SetYoung sets whether an endpoint has recently started.
-func (l *Ledger) SetYoung(name string, young bool) {
+// SetRecentlyStarted sets whether an endpoint has recently started.
+func (l *Ledger) SetRecentlyStarted(name string, young bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if i, ok := l.indexByName[name]; ok {
-		l.candidates[i].SetYoung(young)
+		l.candidates[i].SetRecentlyStarted(young)
 	}
 }
 
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -47,12 +47,12 @@
 		at := time.Now()
 		time.Sleep(100 * time.Millisecond)
 		for range 5 {
-			l.Send("e0000", 10)
+			l.StartRequest("e0000", 10)
 		}
 		l.Report("e0000", 3, at)
 		assert.Equal(t, requests(l, "e0000"), 8.0)
 		time.Sleep(time.Second)
-		l.Expire(time.Now())
+		l.ExpirePeers(time.Now())
 		assert.Equal(t, requests(l, "e0000"), 5.0, "an old report counts no longer")
 	})
 }
@@ -64,17 +64,17 @@
 		for _, busy := range []int{2, 50} {
 			a, b := newLedger(50), newLedger(50)
 			for i := range busy {
-				a.Send(fmt.Sprintf("e%04d", i), 160)
+				a.StartRequest(fmt.Sprintf("e%04d", i), 160)
 			}
 			fingerprint, data := a.Digest()
-			assert.Assert(t, b.Peer("a", fingerprint, data, time.Now()))
-			assert.Assert(t, b.Peer("c", fingerprint, data, time.Now()))
-			assert.Assert(t, !b.Peer("d", fingerprint+1, data, time.Now()))
+			assert.Assert(t, b.SetPeerLoad("a", fingerprint, data, time.Now()))
+			assert.Assert(t, b.SetPeerLoad("c", fingerprint, data, time.Now()))
+			assert.Assert(t, !b.SetPeerLoad("d", fingerprint+1, data, time.Now()))
 			assert.Equal(t, requests(b, "e0001"), 2.0)
-			b.Forget("c")
+			b.RemovePeer("c")
 			assert.Equal(t, requests(b, "e0001"), 1.0)
 			time.Sleep(5 * time.Second)
-			b.Expire(time.Now())
+			b.ExpirePeers(time.Now())
 			assert.Equal(t, requests(b, "e0001"), 0.0)
 		}
 	})
@@ -105,14 +105,14 @@
 // FuzzPeer parses untrusted digests: none may cause a panic, and a rejected one must not change any load.
 func FuzzPeer(f *testing.F) {
 	l := newLedger(3)
-	l.Send("e0001", 100)
+	l.StartRequest("e0001", 100)
 	fingerprint, data := l.Digest()
 	f.Add(data)
 	f.Add([]byte{1, 2, 1, 1})
 	f.Add([]byte{0, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		receiver := newLedger(3)
-		if !receiver.Peer("x", fingerprint, data, time.Now()) {
+		if !receiver.SetPeerLoad("x", fingerprint, data, time.Now()) {
 			assert.Equal(t, requests(receiver, "e0001"), 0.0)
 		}
 	})
@@ -124,7 +124,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := newLedger(n)
 			for i := range 30 * n {
-				l.Send(fmt.Sprintf("e%04d", i%n), 100)
+				l.StartRequest(fmt.Sprintf("e%04d", i%n), 100)
 			}
 			p := placement.NewBounded(1.2, 1)
 			b.ReportAllocs()
@@ -139,9 +139,9 @@
 // changes a day, dropping it each time would leave placement without peer load for up to a period.
 func TestUnchangedEndpointsKeepPeerLoad(t *testing.T) {
 	a, b := newLedger(5), newLedger(5)
-	a.Send("e0001", 160)
+	a.StartRequest("e0001", 160)
 	fingerprint, data := a.Digest()
-	assert.Assert(t, b.Peer("a", fingerprint, data, time.Now()))
+	assert.Assert(t, b.SetPeerLoad("a", fingerprint, data, time.Now()))
 	b.Configure(endpoints(5))
 	assert.Equal(t, requests(b, "e0001"), 1.0)
 	b.Configure(endpoints(4))
@@ -157,7 +157,7 @@
 		"name": "z", "address": "127.0.0.1:2", "failureDomain": "d", "models": []any{"other"},
 	}).Root())
 	l.Configure(append(list, other))
-	c := l.Choose(placement.NewBounded(1.3, 1), ledger.Query{Pool: ledger.PoolOfModel("m"), Key: 7, Warm: "z", Returning: true, Worth: 1})
+	c := l.Choose(placement.NewBounded(1.3, 1), ledger.Query{Pool: ledger.PoolOfModel("m"), Key: 7, WarmEndpoint: "z", Returning: true, CacheValue: 1})
 	assert.Assert(t, c.Endpoint != "z")
 	assert.Assert(t, c.Endpoint != "")
 }
--- a/core/kernel/kernel.go
+++ b/core/lifecycle/kernel.go
@@ -1,4 +1,4 @@
-package kernel
+package lifecycle
 
 import (
 	"context"
@@ -14,15 +14,15 @@
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds the services of one process by name. The zero value is empty.
-type Kernel struct {
+// Manager holds the services of one process by name. The zero value is empty.
+type Manager struct {
 	order    []string
 	services map[string]any
 	started  []string
 }
 
 // Register adds a service. It panics if the name is taken.
-func (k *Kernel) Register(name string, service any) {
+func (k *Manager) Register(name string, service any) {
 	if k.services == nil {
 		k.services = map[string]any{}
 	}
@@ -35,7 +35,7 @@
 
 // Find returns the service with the given name, and panics if there is none. The caller asserts it to an interface of
 // its own.
-func (k *Kernel) Find(name string) any {
+func (k *Manager) Find(name string) any {
 	s, ok := k.services[name]
 	if !ok {
 		panic("kernel: no service named " + name)
@@ -44,10 +44,10 @@
 }
 
 // Lookup returns the service with the given name, or nil if this process does not have it.
-func (k *Kernel) Lookup(name string) any { return k.services[name] }
+func (k *Manager) Lookup(name string) any { return k.services[name] }
 
 // Start starts the services in the order of registration. If one fails, it stops those already started.
-func (k *Kernel) Start(ctx context.Context) (err error) {
+func (k *Manager) Start(ctx context.Context) (err error) {
 	for _, name := range k.order {
 		s, ok := k.services[name].(Service)
 		if !ok {
@@ -64,7 +64,7 @@
 }
 
 // Stop drains the running services in reverse order. All are stopped, and their errors are joined.
-func (k *Kernel) Stop(ctx context.Context) (err error) {
+func (k *Manager) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop services")
 	for i := len(k.started) - 1; i >= 0; i-- {
 		s := k.services[k.started[i]].(Service)
--- a/core/loadplan/plan.go
+++ b/core/loadplan/plan.go
@@ -33,9 +33,9 @@
 
 // Engine configures the simulated engines.
 type Engine struct {
-	Step          time.Duration
+	StepTime      time.Duration
 	TokensPerStep int
-	Batch         int
+	BatchSize     int
 	PrefillTokens int
 	CacheTokens   int
 	ReportLag     time.Duration
@@ -64,10 +64,10 @@
 
 // Surge multiplies the request rate of an account for some time. Account is its rank by request rate, starting at 1.
 type Surge struct {
-	Account int
-	At      time.Duration
-	For     time.Duration
-	Times   float64
+	AccountRank int
+	At          time.Duration
+	Duration    time.Duration
+	Factor      float64
 }
 
 // The actions of Churn.
@@ -86,8 +86,8 @@
 
 // Outage is an interval in which the log service is unavailable.
 type Outage struct {
-	At  time.Duration
-	For time.Duration
+	At       time.Duration
+	Duration time.Duration
 }
 
 const maxDuration = 10 * time.Minute
@@ -100,9 +100,9 @@
 	}
 	t := doc.Root()
 	p = &Plan{
-		Seed:     uint64(t.Number("seed", 1, 1, 1<<40)),
+		Seed:     uint64(t.Int("seed", 1, 1, 1<<40)),
 		Duration: t.Duration("duration", 30*time.Second, time.Second, maxDuration),
-		Bound:    t.Real("bound", 1.3, 1.01, 100),
+		Bound:    t.Float("bound", 1.3, 1.01, 100),
 		Warmup:   t.Duration("warmup", 5*time.Second, 0, maxDuration),
 	}
 	p.readFleet(t.Table("fleet"))
@@ -115,63 +115,63 @@
 
 func (p *Plan) readFleet(t *tomldoc.Table) {
 	p.Fleet = Fleet{
-		Routers:        int(t.Number("routers", 6, 1, 100)),
-		Engines:        int(t.Number("engines", 10, 1, 1000)),
-		Services:       int(t.Number("services", 4, 0, 100)),
-		FailureDomains: t.Texts("failureDomains"),
+		Routers:        int(t.Int("routers", 6, 1, 100)),
+		Engines:        int(t.Int("engines", 10, 1, 1000)),
+		Services:       int(t.Int("services", 4, 0, 100)),
+		FailureDomains: t.Strings("failureDomains"),
 	}
 }
 
 func (p *Plan) readEngine(t *tomldoc.Table) {
 	p.Engine = Engine{
-		Step:          t.Duration("step", 40*time.Millisecond, time.Millisecond, time.Second),
-		TokensPerStep: int(t.Number("tokensPerStep", 4, 1, 1000)),
-		Batch:         int(t.Number("batch", 64, 1, 10000)),
-		PrefillTokens: int(t.Number("prefillTokensPerStep", 8192, 1, 1<<30)),
-		CacheTokens:   int(t.Number("cacheTokens", 200_000, 1, 1<<40)),
+		StepTime:      t.Duration("step", 40*time.Millisecond, time.Millisecond, time.Second),
+		TokensPerStep: int(t.Int("tokensPerStep", 4, 1, 1000)),
+		BatchSize:     int(t.Int("batch", 64, 1, 10000)),
+		PrefillTokens: int(t.Int("prefillTokensPerStep", 8192, 1, 1<<30)),
+		CacheTokens:   int(t.Int("cacheTokens", 200_000, 1, 1<<40)),
 		ReportLag:     t.Duration("reportLag", 300*time.Millisecond, 0, time.Minute),
 	}
 }
 
 func (p *Plan) readAccounts(t *tomldoc.Table) {
 	p.Accounts = Accounts{
-		Count: int(t.Number("count", 10, 1, 100000)),
-		Zipf:  t.Real("zipf", 1.3, 1.01, 10),
+		Count: int(t.Int("count", 10, 1, 100000)),
+		Zipf:  t.Float("zipf", 1.3, 1.01, 10),
 	}
 }
 
 func (p *Plan) readChats(t *tomldoc.Table) {
 	p.Chats = Chats{
-		RequestsPerSecond: t.Real("requestsPerSecond", 100, 0.1, 100000),
-		CallsPerSecond:    t.Real("callsPerSecond", 0, 0, 100000),
+		RequestsPerSecond: t.Float("requestsPerSecond", 100, 0.1, 100000),
+		CallsPerSecond:    t.Float("callsPerSecond", 0, 0, 100000),
 		Pause:             t.Duration("pause", 4*time.Second, time.Millisecond, maxDuration),
-		Turns:             int(t.Number("turns", 6, 1, 1000)),
-		SystemTokens:      int(t.Number("systemTokens", 200, 1, 1<<20)),
-		OpeningTokens:     int(t.Number("openingTokens", 300, 1, 1<<20)),
-		TurnTokens:        int(t.Number("turnTokens", 80, 1, 1<<20)),
-		ShortTokens:       int(t.Number("shortTokens", 40, 1, 1<<16)),
-		LongTokens:        int(t.Number("longTokens", 300, 1, 1<<16)),
-		LongShare:         t.Real("longShare", 0.3, 0, 1),
-		TicketShare:       t.Real("ticketShare", 0.5, 0, 1),
+		Turns:             int(t.Int("turns", 6, 1, 1000)),
+		SystemTokens:      int(t.Int("systemTokens", 200, 1, 1<<20)),
+		OpeningTokens:     int(t.Int("openingTokens", 300, 1, 1<<20)),
+		TurnTokens:        int(t.Int("turnTokens", 80, 1, 1<<20)),
+		ShortTokens:       int(t.Int("shortTokens", 40, 1, 1<<16)),
+		LongTokens:        int(t.Int("longTokens", 300, 1, 1<<16)),
+		LongShare:         t.Float("longShare", 0.3, 0, 1),
+		TicketShare:       t.Float("ticketShare", 0.5, 0, 1),
 	}
 }
 
 func (p *Plan) readFaults(t *tomldoc.Table) {
 	for _, s := range t.Tables("surges") {
 		p.Surges = append(p.Surges, Surge{
-			Account: int(s.Number("account", 1, 1, 100000)), At: s.Duration("at", 0, 0, maxDuration),
-			For: s.Duration("for", 5*time.Second, 0, maxDuration), Times: s.Real("times", 20, 1, 1000),
+			AccountRank: int(s.Int("account", 1, 1, 100000)), At: s.Duration("at", 0, 0, maxDuration),
+			Duration: s.Duration("for", 5*time.Second, 0, maxDuration), Factor: s.Float("times", 20, 1, 1000),
 		})
 	}
 	for _, c := range t.Tables("churn") {
 		p.Churn = append(p.Churn, Churn{
-			At: c.Duration("at", 0, 0, maxDuration), Engine: int(c.Number("engine", 1, 1, 1000)),
+			At: c.Duration("at", 0, 0, maxDuration), Engine: int(c.Int("engine", 1, 1, 1000)),
 			Action: c.Choice("action", ActionKill, ActionKill, ActionLeave, ActionStart),
 		})
 	}
 	for _, o := range t.Tables("outages") {
 		p.Outages = append(p.Outages, Outage{
-			At: o.Duration("at", 0, 0, maxDuration), For: o.Duration("for", time.Second, 0, maxDuration),
+			At: o.Duration("at", 0, 0, maxDuration), Duration: o.Duration("for", time.Second, 0, maxDuration),
 		})
 	}
 }
--- a/core/logstory/explain.go
+++ b/core/loganalysis/explain.go
@@ -1,4 +1,4 @@
-package logstory
+package loganalysis
 
 import (
 	"fmt"
@@ -54,7 +54,7 @@
 		if line.Event == event.Stopped {
 			return nil
 		}
-		if gap := started.At.Sub(line.At); gap > startupWindow {
+		if gap := started.Time.Sub(line.Time); gap > startupWindow {
 			return []string{fmt.Sprintf(
 				"The process before it wrote its last line %.1f s earlier, and none that it stopped: it was killed, or its VM was lost.",
 				gap.Seconds(),
--- a/core/logstory/log.go
+++ b/core/loganalysis/log.go
@@ -1,4 +1,4 @@
-package logstory
+package loganalysis
 
 import (
 	"bufio"
@@ -16,16 +16,16 @@
 
 // Line is one log line of a router.
 type Line struct {
-	At    time.Time
+	Time  time.Time
 	VM    string
 	Event event.Name
 	// Fields holds all fields of the line by name.
 	Fields map[field.Name]string
 	// Text is the line as logged, starting at its first field.
 	Text string
-	// Words explains the line in sentences. It is set only by Story, for lines that describe the end of a client's
+	// Explanation explains the line in sentences. It is set only by Story, for lines that describe the end of a client's
 	// connection, and for the start of a process after another that did not shut down cleanly.
-	Words []string
+	Explanation []string
 }
 
 // Log holds the lines of one or more routers, sorted by time. The zero value is empty.
@@ -50,7 +50,7 @@
 		}
 		l.lines = append(l.lines, line)
 	}
-	sort.SliceStable(l.lines, func(i, j int) bool { return l.lines[i].At.Before(l.lines[j].At) })
+	sort.SliceStable(l.lines, func(i, j int) bool { return l.lines[i].Time.Before(l.lines[j].Time) })
 	return s.Err()
 }
 
@@ -76,7 +76,7 @@
 	if err != nil || d.Err() != nil || line.Fields[field.Event] == "" {
 		return line, false
 	}
-	line.At, line.VM, line.Event = at, line.Fields[field.VM], event.Name(line.Fields[field.Event])
+	line.Time, line.VM, line.Event = at, line.Fields[field.VM], event.Name(line.Fields[field.Event])
 	return line, true
 }
 
@@ -86,15 +86,15 @@
 	event.HubLost: true, event.Started: true, event.Stopping: true,
 }
 
-// Story returns the lines of the request. Each is preceded by the newest earlier lines that show the router's view of
+// Explain returns the lines of the request. Each is preceded by the newest earlier lines that show the router's view of
 // the store, the hub, the configuration and the endpoints that were chosen for the request.
-func (l *Log) Story(request string) (lines []Line) {
+func (l *Log) Explain(request string) (lines []Line) {
 	for i, line := range l.lines {
 		if line.Fields[field.Request] != request {
 			continue
 		}
 		before := l.precedingState(i)
-		line.Words = explainEnding(line, before)
+		line.Explanation = explainEnding(line, before)
 		lines = append(lines, before...)
 		lines = append(lines, line)
 	}
@@ -117,7 +117,7 @@
 	var notBefore time.Time
 	for j := i - 1; j >= 0; j-- {
 		line := l.lines[j]
-		if line.VM == current.VM && (line.At.Before(notBefore) || line.Event == event.Stopped) {
+		if line.VM == current.VM && (line.Time.Before(notBefore) || line.Event == event.Stopped) {
 			break
 		}
 		kind := string(line.Event) + line.Fields[field.Topic]
@@ -130,8 +130,8 @@
 		}
 		seen[kind] = true
 		if line.Event == event.Started {
-			notBefore = line.At.Add(-startupWindow)
-			line.Words = l.explainStart(j)
+			notBefore = line.Time.Add(-startupWindow)
+			line.Explanation = l.explainStart(j)
 		}
 		lines = append([]Line{line}, lines...)
 	}
--- a/core/logstory/log_test.go
+++ b/core/loganalysis/log_test.go
@@ -1,4 +1,4 @@
-package logstory_test
+package loganalysis_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/logstory"
+	"savoryfall/core/loganalysis"
 )
 
 const sampleLog = `ts=2026-05-28T10:22:50Z vm=a event=configurationInForce version=13 from=11 offset=4 routes=122
@@ -22,8 +22,8 @@
 ts=yesterday vm=a event=x
 `
 
-func readLog(t *testing.T, text string) *logstory.Log {
-	l := &logstory.Log{}
+func readLog(t *testing.T, text string) *loganalysis.Log {
+	l := &loganalysis.Log{}
 	assert.NilError(t, l.Read(strings.NewReader(text)))
 	return l
 }
@@ -35,11 +35,11 @@
 	assert.Equal(t, l.Len(), 8)
 	assert.Equal(t, l.Skipped(), 2)
 	var got []string
-	for _, line := range l.Story("r1") {
+	for _, line := range l.Explain("r1") {
 		got = append(got, string(line.Event))
 	}
 	assert.DeepEqual(t, got, []string{"configurationInForce", "storeLost", "endpointGone", "requestRefused"})
-	assert.Equal(t, len(l.Story("r9")), 0)
+	assert.Equal(t, len(l.Explain("r9")), 0)
 }
 
 // A router's VM is lost and restarts, and its first request arrives before it has read any configuration. Story used to
@@ -56,9 +56,9 @@
 ts=2026-05-28T10:00:08.1Z vm=a event=requestRefused request=r1 reason=noConfiguration
 `
 	explain := func(text string) (events []string, words int) {
-		for _, line := range readLog(t, text).Story("r1") {
+		for _, line := range readLog(t, text).Explain("r1") {
 			events = append(events, string(line.Event))
-			words += len(line.Words)
+			words += len(line.Explanation)
 		}
 		return events, words
 	}
@@ -78,10 +78,10 @@
 func TestReport(t *testing.T) {
 	buckets, causes := readLog(t, sampleLog).Report(time.Second)
 	assert.Equal(t, len(buckets), 4)
-	assert.DeepEqual(t, causes, []logstory.Cause{"broken", "endpoint", "staleKeys"})
-	assert.Equal(t, buckets[0].Count["broken"], 1)
-	assert.Equal(t, len(buckets[1].Count), 0)
-	assert.Equal(t, buckets[3].Count["endpoint"]+buckets[3].Count["staleKeys"], 2)
+	assert.DeepEqual(t, causes, []loganalysis.Cause{"broken", "endpoint", "staleKeys"})
+	assert.Equal(t, buckets[0].Counts["broken"], 1)
+	assert.Equal(t, len(buckets[1].Counts), 0)
+	assert.Equal(t, buckets[3].Counts["endpoint"]+buckets[3].Counts["staleKeys"], 2)
 	none, _ := readLog(t, "").Report(time.Second)
 	assert.Equal(t, len(none), 0)
 }
--- a/core/logstory/report.go
+++ b/core/loganalysis/report.go
@@ -1,4 +1,4 @@
-package logstory
+package loganalysis
 
 import (
 	"sort"
@@ -16,8 +16,8 @@
 
 // Bucket counts the requests that were not served in one interval, by cause.
 type Bucket struct {
-	From  time.Time
-	Count map[Cause]int
+	Start  time.Time
+	Counts map[Cause]int
 }
 
 // Report counts the requests that were not served in intervals of the given length. It also returns the causes, the
@@ -29,14 +29,14 @@
 		if !ok {
 			continue
 		}
-		from := line.At.Truncate(interval)
-		for len(buckets) > 0 && buckets[len(buckets)-1].From.Before(from) {
-			buckets = append(buckets, Bucket{From: buckets[len(buckets)-1].From.Add(interval), Count: map[Cause]int{}})
+		from := line.Time.Truncate(interval)
+		for len(buckets) > 0 && buckets[len(buckets)-1].Start.Before(from) {
+			buckets = append(buckets, Bucket{Start: buckets[len(buckets)-1].Start.Add(interval), Counts: map[Cause]int{}})
 		}
 		if len(buckets) == 0 {
-			buckets = []Bucket{{From: from, Count: map[Cause]int{}}}
+			buckets = []Bucket{{Start: from, Counts: map[Cause]int{}}}
 		}
-		buckets[len(buckets)-1].Count[cause]++
+		buckets[len(buckets)-1].Counts[cause]++
 		totals[cause]++
 	}
 	for cause := range totals {
--- a/core/members/hub.go
+++ b/core/members/hub.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"savoryfall/core/scatter"
+	"savoryfall/core/hashmix"
 )
 
 // maxSingleHubRouters is the largest fleet that is served by a single hub, if the hub's VM has the capacity. Each
@@ -26,22 +26,22 @@
 // router only follows routers ranked above it, so routers that disagree on who answers never follow each other in
 // a cycle.
 func (l *List) Hub(self string) (m Member, ok bool) {
-	next := l.Next(self, 1)
+	next := l.HubCandidates(self, 1)
 	if len(next) == 0 {
 		return Member{}, false
 	}
 	return next[0], true
 }
 
-// Next returns up to n hubs that self would follow, each one in case those before it do not answer.
-func (l *List) Next(self string, n int) []Member {
+// HubCandidates returns up to n hubs that self would follow, each one in case those before it do not answer.
+func (l *List) HubCandidates(self string, n int) []Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.candidates(self, n, func(k *routerEntry) bool { return !k.suspect })
 }
 
-// Retry returns the failed routers that are due for a retry, among those that self would follow.
-func (l *List) Retry(self string, n int, now time.Time) (due []Member) {
+// DueRetries returns the failed routers that are due for a retry, among those that self would follow.
+func (l *List) DueRetries(self string, n int, now time.Time) (due []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.candidates(self, n, func(k *routerEntry) bool { return !k.suspect || !now.Before(k.retryAt) }) {
@@ -67,7 +67,7 @@
 // chooseHub returns the router to follow among those ranked above this one.
 func (l *List) chooseHub(me *routerEntry, higherRanked []*routerEntry) *routerEntry {
 	first := higherRanked[0]
-	if me == nil || len(l.byName) <= min(maxSingleHubRouters, first.member.Followers()) {
+	if me == nil || len(l.byName) <= min(maxSingleHubRouters, first.member.MaxFollowers()) {
 		return first
 	}
 	hubs := l.domainHubs(me, higherRanked[1:])
@@ -104,7 +104,7 @@
 			continue
 		}
 		hubs = append(hubs, k)
-		unserved -= min(k.member.Followers()*plannedShareNum/plannedShareDen, maxPlannedFollowers)
+		unserved -= min(k.member.MaxFollowers()*plannedShareNum/plannedShareDen, maxPlannedFollowers)
 		if unserved <= 0 {
 			return hubs
 		}
@@ -117,7 +117,7 @@
 func rendezvous(me *routerEntry, hubs []*routerEntry) (best *routerEntry) {
 	bestScore := uint64(0)
 	for _, h := range hubs {
-		if score := scatter.Mix(me.hash ^ h.hash); best == nil || score > bestScore {
+		if score := hashmix.Mix(me.hash ^ h.hash); best == nil || score > bestScore {
 			best, bestScore = h, score
 		}
 	}
--- a/core/members/hub_test.go
+++ b/core/members/hub_test.go
@@ -16,10 +16,10 @@
 func vm(i int) members.Member {
 	m := members.Member{
 		Name: fmt.Sprint("vm", i), Address: fmt.Sprint("10.0.0.", i), FailureDomain: fmt.Sprint("domain", i%6), Started: 1,
-		Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.Bears(),
+		Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.FollowerCapacity(),
 	}
 	if isLarge(i) {
-		m.Bears = members.VM{Cores: 0.8, MemoryMB: 536, LinkMbps: 200}.Bears()
+		m.Bears = members.VM{Cores: 0.8, MemoryMB: 536, LinkMbps: 200}.FollowerCapacity()
 	}
 	return m
 }
@@ -32,7 +32,7 @@
 	for i := range n {
 		l.Put(vm(i))
 		if silent(i) {
-			l.Failed(vm(i).Name, now)
+			l.MarkFailed(vm(i).Name, now)
 		}
 	}
 	return l
@@ -95,7 +95,7 @@
 	hubs := hubsOf(300, isLarge)
 	levels, most := checkLevels(t, hubs)
 	assert.Equal(t, levels, 2)
-	assert.Assert(t, most <= vm(299).Followers(), "%d follow one", most)
+	assert.Assert(t, most <= vm(299).MaxFollowers(), "%d follow one", most)
 }
 
 // When a hub is lost, only its followers move, and those few other routers of the domain whose nearest hub by hash
@@ -139,10 +139,10 @@
 
 // A VM with many cores but a slow link or little memory does not rank as a better hub.
 func TestCapacityIsLimitedByScarcestResource(t *testing.T) {
-	thin := members.Member{Name: "thin", Bears: members.VM{Cores: 8, MemoryMB: 4096, LinkMbps: 2}.Bears()}
-	full := members.Member{Name: "full", Bears: members.VM{Cores: 8, MemoryMB: 70, LinkMbps: 1000}.Bears()}
-	even := members.Member{Name: "even", Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.Bears()}
-	odd := members.Member{Name: "odd", Bears: members.VM{Cores: -1, MemoryMB: -1, LinkMbps: -1}.Bears()}
+	thin := members.Member{Name: "thin", Bears: members.VM{Cores: 8, MemoryMB: 4096, LinkMbps: 2}.FollowerCapacity()}
+	full := members.Member{Name: "full", Bears: members.VM{Cores: 8, MemoryMB: 70, LinkMbps: 1000}.FollowerCapacity()}
+	even := members.Member{Name: "even", Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.FollowerCapacity()}
+	odd := members.Member{Name: "odd", Bears: members.VM{Cores: -1, MemoryMB: -1, LinkMbps: -1}.FollowerCapacity()}
 	l := &members.List{}
 	l.Put(thin, full, even, odd)
 	for _, self := range []string{"thin", "full", "odd"} {
@@ -150,8 +150,8 @@
 		assert.Assert(t, ok)
 		assert.Equal(t, m.Name, "even")
 	}
-	assert.Equal(t, thin.Followers(), 5)
-	assert.Equal(t, odd.Followers(), 1)
+	assert.Equal(t, thin.MaxFollowers(), 5)
+	assert.Equal(t, odd.MaxFollowers(), 1)
 }
 
 // A hub that is gone for good is retried at increasing intervals and never waited for. A hub that restarts with a
@@ -160,13 +160,13 @@
 	l := listOf(2, noneSilent)
 	first, ok := l.Hub("vm1")
 	assert.Assert(t, ok)
-	l.Failed(first.Name, now)
+	l.MarkFailed(first.Name, now)
 	retries := 0
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(100 * time.Millisecond) {
 		_, ok = l.Hub("vm1")
 		assert.Assert(t, !ok)
-		for _, m := range l.Retry("vm1", 9, at) {
-			l.Failed(m.Name, at)
+		for _, m := range l.DueRetries("vm1", 9, at) {
+			l.MarkFailed(m.Name, at)
 			retries++
 		}
 	}
@@ -183,11 +183,11 @@
 	l := listOf(2, noneSilent)
 	attempts := 0
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(100 * time.Millisecond) {
-		for _, m := range l.Retry("vm1", 9, at) {
-			l.Reached(m.Name)
+		for _, m := range l.DueRetries("vm1", 9, at) {
+			l.MarkReached(m.Name)
 		}
 		if m, ok := l.Hub("vm1"); ok {
-			l.Failed(m.Name, at)
+			l.MarkFailed(m.Name, at)
 			attempts++
 		}
 	}
@@ -202,10 +202,10 @@
 	m.Started = 7
 	assert.Equal(t, len(l.Put(m)), 1)
 	assert.Equal(t, len(l.Put(vm(1))), 0)
-	assert.Assert(t, l.Has(vm(1)))
+	assert.Assert(t, l.Contains(vm(1)))
 	moved := vm(1)
 	moved.Address = "elsewhere"
-	assert.Assert(t, !l.Has(moved))
+	assert.Assert(t, !l.Contains(moved))
 }
 
 // Since returns only what changed, and nothing to a caller with the same list.
--- a/core/members/list.go
+++ b/core/members/list.go
@@ -95,8 +95,8 @@
 	return len(l.byName)
 }
 
-// Hashes returns the name hashes of all known routers.
-func (l *List) Hashes() (hashes []uint64) {
+// NameHashes returns the name hashes of all known routers.
+func (l *List) NameHashes() (hashes []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, k := range l.ranked {
@@ -105,8 +105,8 @@
 	return hashes
 }
 
-// Has returns whether the router is known with the same values, ignoring the start time of its process.
-func (l *List) Has(m Member) bool {
+// Contains returns whether the router is known with the same values, ignoring the start time of its process.
+func (l *List) Contains(m Member) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.byName[m.Name]
@@ -141,8 +141,8 @@
 	return l.digest
 }
 
-// Failed records that a router did not answer or failed as a hub, and schedules the next retry.
-func (l *List) Failed(name string, now time.Time) {
+// MarkFailed records that a router did not answer or failed as a hub, and schedules the next retry.
+func (l *List) MarkFailed(name string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.byName[name]
@@ -153,9 +153,9 @@
 	k.failures++
 }
 
-// Reached records that a connection to the router succeeded. The failure count is kept until the router has served
+// MarkReached records that a connection to the router succeeded. The failure count is kept until the router has served
 // as hub.
-func (l *List) Reached(name string) {
+func (l *List) MarkReached(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if k := l.byName[name]; k != nil {
@@ -163,8 +163,8 @@
 	}
 }
 
-// Answered records that a router served as hub, and resets its failure count.
-func (l *List) Answered(name string) {
+// MarkServed records that a router served as hub, and resets its failure count.
+func (l *List) MarkServed(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if k := l.byName[name]; k != nil {
--- a/core/members/member.go
+++ b/core/members/member.go
@@ -15,7 +15,7 @@
 	// Started is the start time of the router's process in Unix milliseconds. It only distinguishes processes of
 	// the same name.
 	Started int64 `json:"-"`
-	// Bears is how many followers the router's VM could serve as hub.
+	// FollowerCapacity is how many followers the router's VM could serve as hub.
 	Bears int `json:"bears"`
 }
 
@@ -42,8 +42,8 @@
 // report to it.
 const maxFollowers = 100
 
-// Bears returns how many followers the VM could serve as hub, limited by its scarcest resource.
-func (vm VM) Bears() int {
+// FollowerCapacity returns how many followers the VM could serve as hub, limited by its scarcest resource.
+func (vm VM) FollowerCapacity() int {
 	n := vm.Cores * hubCoresShare / followerCores
 	if vm.MemoryMB > 0 {
 		n = min(n, max(0, vm.MemoryMB-reservedMB)*hubMemoryShare/followerMB)
@@ -54,8 +54,8 @@
 	return int(max(0, n))
 }
 
-// Followers returns how many routers may report to this router at a time; it is at least 1.
-func (m Member) Followers() int {
+// MaxFollowers returns how many routers may report to this router at a time; it is at least 1.
+func (m Member) MaxFollowers() int {
 	return max(1, min(m.Bears, maxFollowers))
 }
 
--- a/core/membership/table.go
+++ b/core/membership/table.go
@@ -24,8 +24,8 @@
 	return [...]string{"alive", "suspect", "dead", "leaving"}[min(s, Leaving)]
 }
 
-// Rumour is a gossip update about one member.
-type Rumour struct {
+// Update is a gossip update about one member.
+type Update struct {
 	Name          string
 	Address       string
 	FailureDomain string
@@ -36,14 +36,14 @@
 // Table holds one router's view of the members; create one with New.
 type Table struct {
 	mu               sync.Mutex
-	self             Rumour
+	self             Update
 	suspicionTimeout time.Duration
 	members          map[string]*member
 	retransmits      map[string]int
 }
 
 type member struct {
-	Rumour
+	Update
 	lastHeard  time.Time
 	stateSince time.Time
 	listed     bool
@@ -57,21 +57,21 @@
 )
 
 // New returns the table of the router self. A suspected member is declared dead after suspicionTimeout.
-func New(self Rumour, suspicionTimeout time.Duration) *Table {
+func New(self Update, suspicionTimeout time.Duration) *Table {
 	t := &Table{self: self, suspicionTimeout: suspicionTimeout, members: map[string]*member{}, retransmits: map[string]int{}}
 	t.retransmits[self.Name] = t.retransmitLimit()
 	return t
 }
 
 // Self returns this router's own state.
-func (t *Table) Self() Rumour {
+func (t *Table) Self() Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// ListensOn sets the address that this router announces, which is known only once it listens.
-func (t *Table) ListensOn(address string) {
+// SetAddress sets the address that this router announces, which is known only once it listens.
+func (t *Table) SetAddress(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.Address = address
@@ -85,9 +85,9 @@
 	t.retransmits[t.self.Name] = t.retransmitLimit()
 }
 
-// Listed records the routers on the VM list. The list is delayed: a member that is missing from it is kept while it is
+// UpdateFromVMList records the routers on the VM list. The list is delayed: a member that is missing from it is kept while it is
 // heard from, and a member on it is assumed alive until direct evidence shows otherwise.
-func (t *Table) Listed(routers []Rumour, now time.Time) {
+func (t *Table) UpdateFromVMList(routers []Update, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range t.members {
@@ -99,7 +99,7 @@
 		}
 		m := t.members[r.Name]
 		if m == nil {
-			m = &member{Rumour: r, lastHeard: now, stateSince: now}
+			m = &member{Update: r, lastHeard: now, stateSince: now}
 			t.members[r.Name] = m
 		}
 		m.listed = true
@@ -114,7 +114,7 @@
 
 // Heard records direct contact with a member. A member that neither the VM list nor gossip has named yet has no known
 // address, and is ignored until one of them names it.
-func (t *Table) Heard(r Rumour, now time.Time) {
+func (t *Table) Heard(r Update, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.Name == t.self.Name {
@@ -133,8 +133,8 @@
 	}
 }
 
-// Vouched records that another router has just reached the member, although this one can't.
-func (t *Table) Vouched(name string, now time.Time) {
+// RecordIndirectContact records that another router has just reached the member, although this one can't.
+func (t *Table) RecordIndirectContact(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.members[name]; m != nil {
@@ -145,8 +145,8 @@
 	}
 }
 
-// Missed records that the member answered neither this router nor the routers asked to probe it.
-func (t *Table) Missed(name string, now time.Time) {
+// RecordMiss records that the member answered neither this router nor the routers asked to probe it.
+func (t *Table) RecordMiss(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.members[name]; m != nil && m.State == Alive {
@@ -156,7 +156,7 @@
 
 // Rumours merges the updates of a peer. If one says that this router isn't alive, this router refutes it with a higher
 // incarnation, which overrides the update everywhere.
-func (t *Table) Rumours(rumours []Rumour, now time.Time) {
+func (t *Table) Rumours(rumours []Update, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range rumours {
@@ -167,7 +167,7 @@
 		m := t.members[r.Name]
 		if m == nil {
 			if r.State == Alive {
-				t.members[r.Name] = &member{Rumour: r, lastHeard: now, stateSince: now}
+				t.members[r.Name] = &member{Update: r, lastHeard: now, stateSince: now}
 				t.retransmits[r.Name] = t.retransmitLimit()
 			}
 			continue
@@ -176,7 +176,7 @@
 	}
 }
 
-func (t *Table) refute(r Rumour) {
+func (t *Table) refute(r Update) {
 	if r.Incarnation < t.self.Incarnation || r.State == Alive || t.self.State == Leaving {
 		return
 	}
@@ -186,7 +186,7 @@
 
 // merge prefers the higher incarnation, and within one incarnation the higher state, so that the order of arrival
 // doesn't matter.
-func (t *Table) merge(m *member, r Rumour, now time.Time) {
+func (t *Table) merge(m *member, r Update, now time.Time) {
 	if r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.State <= m.State {
 		return
 	}
@@ -235,7 +235,7 @@
 }
 
 // Gossip returns the updates to send now, at most max; each is sent a limited number of times.
-func (t *Table) Gossip(max int) (rumours []Rumour) {
+func (t *Table) Gossip(max int) (rumours []Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(t.retransmits)) {
@@ -251,11 +251,11 @@
 	return rumours
 }
 
-func (t *Table) rumour(name string) Rumour {
+func (t *Table) rumour(name string) Update {
 	if name == t.self.Name {
 		return t.self
 	}
-	return t.members[name].Rumour
+	return t.members[name].Update
 }
 
 // Peer is the state of another member as used by callers and shown to operators.
@@ -282,9 +282,9 @@
 	return peers
 }
 
-// Duty returns the member assigned to a duty, so that not all members perform it. Two members may both consider
+// Assignee returns the member assigned to a duty, so that not all members perform it. Two members may both consider
 // themselves assigned while their views differ.
-func (t *Table) Duty(duty string) (name string) {
+func (t *Table) Assignee(duty string) (name string) {
 	assignees := t.Assignees(duty, 1)
 	return assignees[0]
 }
@@ -323,8 +323,8 @@
 	return names
 }
 
-// Mine reports whether this router is among the n members assigned to the duty.
-func (t *Table) Mine(duty string, n int) bool {
+// Assigned reports whether this router is among the n members assigned to the duty.
+func (t *Table) Assigned(duty string, n int) bool {
 	return slices.Contains(t.Assignees(duty, n), t.Self().Name)
 }
 
--- a/core/membership/table_test.go
+++ b/core/membership/table_test.go
@@ -21,12 +21,12 @@
 var start = time.Unix(1_000_000, 0)
 
 func table(name string, others ...string) *membership.Table {
-	t := membership.New(membership.Rumour{Name: name, Incarnation: 1}, time.Second)
-	var listed []membership.Rumour
+	t := membership.New(membership.Update{Name: name, Incarnation: 1}, time.Second)
+	var listed []membership.Update
 	for _, o := range others {
-		listed = append(listed, membership.Rumour{Name: o, Address: o + ":1"})
+		listed = append(listed, membership.Update{Name: o, Address: o + ":1"})
 	}
-	t.Listed(listed, start)
+	t.UpdateFromVMList(listed, start)
 	return t
 }
 
@@ -39,9 +39,9 @@
 	return "unknown"
 }
 
-func rumours() *rapid.Generator[[]membership.Rumour] {
-	one := rapid.Custom(func(t *rapid.T) membership.Rumour {
-		return membership.Rumour{
+func rumours() *rapid.Generator[[]membership.Update] {
+	one := rapid.Custom(func(t *rapid.T) membership.Update {
+		return membership.Update{
 			Name:        fmt.Sprintf("r%d", rapid.IntRange(0, 2).Draw(t, "name")),
 			Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "incarnation")),
 			State:       membership.State(rapid.IntRange(0, 3).Draw(t, "state")),
@@ -90,7 +90,7 @@
 func TestLeavingIsNotTakenBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := table("a", "r0", "r1", "r2")
-		a.Rumours([]membership.Rumour{{Name: "r0", Incarnation: 4, State: membership.Leaving}}, start)
+		a.Rumours([]membership.Update{{Name: "r0", Incarnation: 4, State: membership.Leaving}}, start)
 		a.Rumours(rumours().Draw(t, "rumours"), start)
 		if state(a, "r0") != "leaving" {
 			t.Fatalf("r0 is %s", state(a, "r0"))
@@ -102,22 +102,22 @@
 // is not.
 func TestSuspicion(t *testing.T) {
 	a := table("a", "b", "c")
-	a.Missed("b", start)
-	a.Missed("c", start)
-	a.Vouched("c", start.Add(500*time.Millisecond))
+	a.RecordMiss("b", start)
+	a.RecordMiss("c", start)
+	a.RecordIndirectContact("c", start.Add(500*time.Millisecond))
 	assert.Equal(t, len(a.Sweep(start.Add(900*time.Millisecond))), 0)
 	assert.DeepEqual(t, a.Sweep(start.Add(1100*time.Millisecond)), []string{"b"})
 	assert.Equal(t, state(a, "c"), "alive")
-	a.Heard(membership.Rumour{Name: "b", Incarnation: 2}, start.Add(2*time.Second))
+	a.Heard(membership.Update{Name: "b", Incarnation: 2}, start.Add(2*time.Second))
 	assert.Equal(t, state(a, "b"), "alive")
 }
 
 // A router that learns that it is considered dead overrides the update with a higher incarnation.
 func TestRefutation(t *testing.T) {
 	a, b := table("a", "b"), table("b", "a")
-	dead := membership.Rumour{Name: "a", Incarnation: 1, State: membership.Dead}
-	b.Rumours([]membership.Rumour{dead}, start)
-	a.Rumours([]membership.Rumour{dead}, start)
+	dead := membership.Update{Name: "a", Incarnation: 1, State: membership.Dead}
+	b.Rumours([]membership.Update{dead}, start)
+	a.Rumours([]membership.Update{dead}, start)
 	assert.Equal(t, state(b, "a"), "dead")
 	b.Rumours(a.Gossip(16), start)
 	assert.Equal(t, state(b, "a"), "alive")
@@ -129,14 +129,14 @@
 	before := map[string]string{}
 	for i := range 40 {
 		d := fmt.Sprint("duty", i)
-		before[d] = a.Duty(d)
+		before[d] = a.Assignee(d)
 	}
-	a.Rumours([]membership.Rumour{{Name: "c", Incarnation: 1, State: membership.Dead}}, start)
+	a.Rumours([]membership.Update{{Name: "c", Incarnation: 1, State: membership.Dead}}, start)
 	for d, assignee := range before {
 		if assignee != "c" {
-			assert.Equal(t, a.Duty(d), assignee)
+			assert.Equal(t, a.Assignee(d), assignee)
 		} else {
-			assert.Assert(t, a.Duty(d) != "c")
+			assert.Assert(t, a.Assignee(d) != "c")
 		}
 	}
 }
--- a/core/spills/table.go
+++ b/core/overflow/table.go
@@ -1,4 +1,4 @@
-package spills
+package overflow
 
 import (
 	"encoding/binary"
@@ -86,11 +86,11 @@
 	return e.endpoint, ok
 }
 
-// Names reports whether the truncated endpoint hash of an entry matches the given endpoint hash.
-func Names(endpoint uint16, hash uint64) bool { return endpoint == truncateEndpoint(hash) }
+// Matches reports whether the truncated endpoint hash of an entry matches the given endpoint hash.
+func Matches(endpoint uint16, hash uint64) bool { return endpoint == truncateEndpoint(hash) }
 
-// Since encodes this router's own entries from the cursor on, at most max, and returns the cursor for the next call.
-func (t *Table) Since(cursor uint64, max int) (data []byte, next uint64) {
+// OwnSince encodes this router's own entries from the cursor on, at most max, and returns the cursor for the next call.
+func (t *Table) OwnSince(cursor uint64, max int) (data []byte, next uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	from := int(min(uint64(len(t.ownSpills)), cursor-min(cursor, t.firstOwn)))
@@ -105,8 +105,8 @@
 	return data, t.firstOwn + uint64(end)
 }
 
-// Take adds a peer's entries; an incomplete trailing entry is dropped.
-func (t *Table) Take(data []byte, now time.Time) {
+// Merge adds a peer's entries; an incomplete trailing entry is dropped.
+func (t *Table) Merge(data []byte, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(data) >= entryBytes {
--- a/core/spills/table_test.go
+++ b/core/overflow/table_test.go
@@ -1,4 +1,4 @@
-package spills_test
+package overflow_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/spills"
+	"savoryfall/core/overflow"
 )
 
 var start = time.Unix(1_000_000, 0)
@@ -19,42 +19,42 @@
 
 // A peer that reads in pages, passing each cursor on to the next call, receives every entry exactly once.
 func TestPagedReadTransfersEveryEntryOnce(t *testing.T) {
-	var a, b spills.Table
+	var a, b overflow.Table
 	for i := range uint64(100) {
 		a.Add(i*chatUnit, endpointOne, start)
 	}
 	cursor, pages := uint64(0), 0
 	for {
-		data, next := a.Since(cursor, 30)
+		data, next := a.OwnSince(cursor, 30)
 		if len(data) == 0 {
 			break
 		}
-		b.Take(data, start)
+		b.Merge(data, start)
 		cursor = next
 		pages++
 	}
 	assert.Equal(t, pages, 4)
 	assert.Equal(t, b.Len(), 100)
 	e, ok := b.Find(42 * chatUnit)
-	assert.Assert(t, ok && spills.Names(e, endpointOne))
+	assert.Assert(t, ok && overflow.Matches(e, endpointOne))
 }
 
 // An entry expires after its TTL, a newer entry for the same chat replaces the older one, and a cursor from before the
 // retained entries starts at the oldest retained one.
 func TestEntriesExpire(t *testing.T) {
-	var a spills.Table
+	var a overflow.Table
 	a.Add(1*chatUnit, endpointOne, start)
 	a.Add(1*chatUnit, endpointTwo, start.Add(9*time.Minute))
 	a.Add(2*chatUnit, endpointTwo, start.Add(11*time.Minute))
 	e, ok := a.Find(1 * chatUnit)
-	assert.Assert(t, ok && spills.Names(e, endpointTwo))
+	assert.Assert(t, ok && overflow.Matches(e, endpointTwo))
 	a.Add(3*chatUnit, endpointTwo, start.Add(30*time.Minute))
 	_, ok = a.Find(1 * chatUnit)
 	assert.Assert(t, !ok)
 	for i := range uint64(5000) {
 		a.Add(i*chatUnit, endpointOne, start.Add(31*time.Minute))
 	}
-	data, next := a.Since(2, 10)
+	data, next := a.OwnSince(2, 10)
 	assert.Equal(t, len(data), 60)
 	assert.Assert(t, next > 10)
 }
--- a/core/placement/baselines.go
+++ b/core/placement/baselines.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"savoryfall/core/candidate"
-	"savoryfall/core/scatter"
+	"savoryfall/core/hashmix"
 )
 
 func usableMembers(candidates []candidate.Candidate, members []int32) (list []int32) {
@@ -73,7 +73,7 @@
 func (rendezvous) Choose(r Request, candidates []candidate.Candidate, members []int32) (int, Reason) {
 	best, bestScore := NoCandidate, math.Inf(-1)
 	for _, i := range usableMembers(candidates, members) {
-		if score := weightedScore(toUnitInterval(scatter.Mix(r.Key^candidates[i].Hash())), candidates[i].Weight()); score > bestScore {
+		if score := weightedScore(toUnitInterval(hashmix.Mix(r.Key^candidates[i].Hash())), candidates[i].Weight()); score > bestScore {
 			best, bestScore = int(i), score
 		}
 	}
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rebuild(candidates, list)
-	position := scatter.Mix(r.Key)
+	position := hashmix.Mix(r.Key)
 	next := sort.Search(len(p.points), func(i int) bool { return p.points[i].position >= position })
 	return int(p.points[next%len(p.points)].index), ReasonRank
 }
@@ -113,7 +113,7 @@
 func (p *ring) rebuild(candidates []candidate.Candidate, list []int32) {
 	membersHash := uint64(len(list))
 	for _, i := range list {
-		membersHash = scatter.Mix(membersHash ^ candidates[i].Hash())
+		membersHash = hashmix.Mix(membersHash ^ candidates[i].Hash())
 	}
 	if membersHash == p.membersHash && p.points != nil {
 		return
@@ -121,7 +121,7 @@
 	p.membersHash, p.points = membersHash, nil
 	for _, i := range list {
 		for v := range uint64(virtualNodes) {
-			p.points = append(p.points, point{position: scatter.Mix(candidates[i].Hash() + v*0x9e3779b97f4a7c15), index: i})
+			p.points = append(p.points, point{position: hashmix.Mix(candidates[i].Hash() + v*0x9e3779b97f4a7c15), index: i})
 		}
 	}
 	sort.Slice(p.points, func(a, b int) bool { return p.points[a].position < p.points[b].position })
--- a/core/placement/bounded.go
+++ b/core/placement/bounded.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"savoryfall/core/candidate"
-	"savoryfall/core/scatter"
+	"savoryfall/core/hashmix"
 )
 
 // Bounded is weighted rendezvous hashing with bounded loads: it chooses the highest-ranked candidate for the
@@ -31,11 +31,11 @@
 // the same one until the next load digest, and all would send there.
 func (b *Bounded) Choose(r Request, candidates []candidate.Candidate, members []int32) (index int, reason Reason) {
 	limits := b.loadLimits(r)
-	if r.Warm != NoCandidate && candidates[r.Warm].Usable() && limits.allow(&candidates[r.Warm]) {
-		return r.Warm, ReasonWarm
+	if r.WarmEndpoint != NoCandidate && candidates[r.WarmEndpoint].Usable() && limits.allow(&candidates[r.WarmEndpoint]) {
+		return r.WarmEndpoint, ReasonWarm
 	}
 	top := limits.rank(r.Key, candidates, members)
-	if r.Returning && r.Warm == NoCandidate && top.mature != NoCandidate && limits.allow(&candidates[top.mature]) {
+	if r.Returning && r.WarmEndpoint == NoCandidate && top.mature != NoCandidate && limits.allow(&candidates[top.mature]) {
 		return top.mature, ReasonRank
 	}
 	if top.first == NoCandidate {
@@ -65,11 +65,11 @@
 		if !c.Usable() {
 			continue
 		}
-		score := toUnitInterval(scatter.Mix(key ^ c.Hash()))
+		score := toUnitInterval(hashmix.Mix(key ^ c.Hash()))
 		if l.unevenWeights {
 			score = weightedScore(score, c.Weight())
 		}
-		if score > mature && !c.Young() {
+		if score > mature && !c.RecentlyStarted() {
 			top.mature, mature = int(i), score
 		}
 		if score <= second || !l.allow(c) {
@@ -103,7 +103,7 @@
 }
 
 func (b *Bounded) loadLimits(r Request) (l loadLimits) {
-	bound := b.newBound + (b.bound-b.newBound)*r.Worth
+	bound := b.newBound + (b.bound-b.newBound)*r.CacheValue
 	// The request limit is rounded up, and the token limit is compared before adding the request. With few requests in
 	// the pool, a single one puts an endpoint over any multiple of the mean, and nothing could be placed.
 	l.requests = math.Ceil(bound * (r.Totals.Requests + 1) / r.Totals.Weight)
@@ -148,8 +148,8 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// First returns the highest-ranked candidate for the key that has not recently started, regardless of load.
+// HighestRanked returns the highest-ranked candidate for the key that has not recently started, regardless of load.
 // Routers without other information look for the chat there first.
-func First(key uint64, totals Totals, candidates []candidate.Candidate, members []int32) (index int) {
+func HighestRanked(key uint64, totals Totals, candidates []candidate.Candidate, members []int32) (index int) {
 	return loadLimits{unevenWeights: totals.UnevenWeights}.rank(key, candidates, members).mature
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -25,7 +25,7 @@
 }
 
 func place(p placement.Policy, key uint64, returning bool, candidates []candidate.Candidate, members []int32) int {
-	return choose(p, placement.Request{Key: key << 20, Warm: placement.NoCandidate, Returning: returning, Worth: cacheValue(returning), Tokens: 10}, candidates, members)
+	return choose(p, placement.Request{Key: key << 20, WarmEndpoint: placement.NoCandidate, Returning: returning, CacheValue: cacheValue(returning), Tokens: 10}, candidates, members)
 }
 
 func cacheValue(returning bool) float64 {
@@ -72,7 +72,7 @@
 func TestNewEndpointGetsOnlyNewChats(t *testing.T) {
 	candidates, members := pool(10)
 	p := placement.NewBounded(1.25, 1)
-	candidates[3].SetYoung(true)
+	candidates[3].SetRecentlyStarted(true)
 	newChats := 0
 	for key := range uint64(500) {
 		assert.Assert(t, place(p, key, true, candidates, members) != 3)
@@ -90,7 +90,7 @@
 	for i := range candidates {
 		candidates[i].SetLoad(20, 200)
 	}
-	r := placement.Request{Key: 1, Warm: 2, Returning: true, Worth: 1, Tokens: 10}
+	r := placement.Request{Key: 1, WarmEndpoint: 2, Returning: true, CacheValue: 1, Tokens: 10}
 	assert.Equal(t, choose(p, r, candidates, members), 2)
 	candidates[2].SetLoad(60, 200)
 	assert.Assert(t, choose(p, r, candidates, members) != 2)
@@ -140,9 +140,9 @@
 	}
 	candidates[2].SetLoad(24, 200)
 	p := placement.NewBounded(1.3, 1)
-	r := placement.Request{Key: 1, Warm: 2, Returning: true, Tokens: 10, Worth: 1}
+	r := placement.Request{Key: 1, WarmEndpoint: 2, Returning: true, Tokens: 10, CacheValue: 1}
 	assert.Equal(t, choose(p, r, candidates, members), 2)
-	r.Worth = 0.2
+	r.CacheValue = 0.2
 	assert.Assert(t, choose(p, r, candidates, members) != 2)
 }
 
@@ -155,7 +155,7 @@
 	}
 	p := placement.NewBounded(1.3, 1.2)
 	for key := range uint64(50) {
-		r := placement.Request{Key: key << 20, Warm: placement.NoCandidate, Returning: true, Worth: 1, Tokens: 10}
+		r := placement.Request{Key: key << 20, WarmEndpoint: placement.NoCandidate, Returning: true, CacheValue: 1, Tokens: 10}
 		r.Totals = placement.SumUsable(candidates, members)
 		first, reason := p.Choose(r, candidates, members)
 		assert.Equal(t, reason, placement.ReasonRank)
--- a/core/placement/policy.go
+++ b/core/placement/policy.go
@@ -14,13 +14,13 @@
 type Request struct {
 	// Key is the routing hash of the chat.
 	Key uint64
-	// Warm is the index of the candidate named by a ticket or a spill table entry, or NoCandidate.
-	Warm int
+	// WarmEndpoint is the index of the candidate named by a ticket or a spill table entry, or NoCandidate.
+	WarmEndpoint int
 	// Returning reports whether the chat was answered before, so that some endpoint has its prefix cached.
 	Returning bool
-	// Worth is how much the chat would lose by moving away from its cached prefix, from 0 (nothing) to 1 (as much
+	// CacheValue is how much the chat would lose by moving away from its cached prefix, from 0 (nothing) to 1 (as much
 	// as any).
-	Worth float64
+	CacheValue float64
 	// Tokens is the expected cost of the request in tokens.
 	Tokens float64
 	Totals Totals
--- a/core/warmth/cache.go
+++ b/core/prefixcache/cache.go
@@ -1,4 +1,4 @@
-package warmth
+package prefixcache
 
 import (
 	"savoryfall/core/prompt"
@@ -34,8 +34,8 @@
 	}
 }
 
-// Warm returns how many leading tokens of the chain the endpoint is expected to have cached.
-func (c *Cache) Warm(chain prompt.Chain) (tokens int) {
+// CachedTokens returns how many leading tokens of the chain the endpoint is expected to have cached.
+func (c *Cache) CachedTokens(chain prompt.Chain) (tokens int) {
 	if len(c.recent) == 0 && len(c.previous) == 0 {
 		return 0
 	}
--- a/core/warmth/doc.go
+++ b/core/prefixcache/doc.go
@@ -1,2 +1,2 @@
 // Package warmth models the prefix caches of endpoints: which prompt parts they have recently processed.
-package warmth
+package prefixcache
--- a/core/prompt/chain.go
+++ b/core/prompt/chain.go
@@ -18,10 +18,10 @@
 	return n
 }
 
-// Key returns the id that decides where the chain is placed: that of the last part shared with other requests. The
+// RoutingKey returns the id that decides where the chain is placed: that of the last part shared with other requests. The
 // very last part belongs to the request or its chat alone, so it would scatter requests that share the long part
 // before it.
-func (c Chain) Key() uint64 {
+func (c Chain) RoutingKey() uint64 {
 	switch len(c) {
 	case 0:
 		return 0
--- a/core/rota/rota.go
+++ b/core/readrotation/rota.go
@@ -1,16 +1,16 @@
-package rota
+package readrotation
 
 import (
 	"sync"
 	"time"
 )
 
-// Rota assigns reading to one router after the other, and keeps a router assigned as long as its reads succeed.
+// Rotation assigns reading to one router after the other, and keeps a router assigned as long as its reads succeed.
 // The zero value has no assignments. Times are measured since boot.
 //
 // The store may reject the hub and serve other routers. When each router found that out by itself, an outage cost
 // the store two calls a second from every router.
-type Rota struct {
+type Rotation struct {
 	mu          sync.Mutex
 	assignments map[string]*assignment
 	// active is the number of current assignments, assigned the number of assignments made since the hub could last
@@ -49,19 +49,19 @@
 // Hub is the state of the hub's own reads from the store.
 type Hub struct {
 	// Failing is set when the hub needs to read and cannot; Starving is set when its data is also becoming stale.
-	Failing, Starving bool
+	Failing, Stale bool
 }
 
 // Router is the state that a router has just reported.
 type Router struct {
 	Name string
-	// Newer is set when the router has newer data than the hub from its own reads; Failing is set when it cannot
+	// HasNewer is set when the router has newer data than the hub from its own reads; Failing is set when it cannot
 	// read.
-	Newer, Failing bool
+	HasNewer, Failing bool
 }
 
-// Asks returns whether the router should read the store for the hub.
-func (r *Rota) Asks(router Router, hub Hub, now time.Duration) bool {
+// ShouldRead returns whether the router should read the store for the hub.
+func (r *Rotation) ShouldRead(router Router, hub Hub, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !hub.Failing {
@@ -76,7 +76,7 @@
 		}
 		return current.active
 	}
-	if !router.Newer && !r.mayAssign(current, hub, now) {
+	if !router.HasNewer && !r.mayAssign(current, hub, now) {
 		return false
 	}
 	if r.assignments == nil {
@@ -90,20 +90,20 @@
 }
 
 // mayAssign returns whether a router may be assigned, given its last assignment, or nil if it had none.
-func (r *Rota) mayAssign(last *assignment, hub Hub, now time.Duration) bool {
-	if !hub.Starving || r.active >= maxActive || last != nil && now-last.startedAt < reassignDelay {
+func (r *Rotation) mayAssign(last *assignment, hub Hub, now time.Duration) bool {
+	if !hub.Stale || r.active >= maxActive || last != nil && now-last.startedAt < reassignDelay {
 		return false
 	}
 	return r.assigned < fastAssignments || now-r.lastAssignedAt >= assignInterval
 }
 
-func (r *Rota) end(t *assignment) {
+func (r *Rotation) end(t *assignment) {
 	t.active = false
 	r.active--
 }
 
 // Delivered records that a router delivered something newer than the hub had.
-func (r *Rota) Delivered(router string, now time.Duration) {
+func (r *Rotation) Delivered(router string, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if current := r.assignments[router]; current != nil {
@@ -112,7 +112,7 @@
 }
 
 // expire ends the assignments of routers that deliver nothing.
-func (r *Rota) expire(now time.Duration) {
+func (r *Rotation) expire(now time.Duration) {
 	for _, t := range r.assignments {
 		if t.active && now-t.deliveredAt > deliveryTimeout {
 			r.end(t)
--- a/core/rota/rota_test.go
+++ b/core/readrotation/rota_test.go
@@ -1,4 +1,4 @@
-package rota_test
+package readrotation_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/rota"
+	"savoryfall/core/readrotation"
 )
 
 const step = 100 * time.Millisecond
@@ -15,7 +15,7 @@
 // simulate has 60 routers report for some time to a hub that cannot read. Assigned routers that can read deliver,
 // and the others report failure. It returns the routers that were ever assigned, and how many are assigned at the
 // end.
-func simulate(r *rota.Rota, canRead func(name string) bool, duration time.Duration) (assigned map[string]bool, reading int) {
+func simulate(r *readrotation.Rotation, canRead func(name string) bool, duration time.Duration) (assigned map[string]bool, reading int) {
 	assigned = map[string]bool{}
 	active := map[string]bool{}
 	stale := true
@@ -27,7 +27,7 @@
 				r.Delivered(name, now)
 				stale = false
 			}
-			active[name] = r.Asks(rota.Router{Name: name, Failing: assigned[name] && !canRead(name)}, rota.Hub{Failing: true, Starving: stale}, now)
+			active[name] = r.ShouldRead(readrotation.Router{Name: name, Failing: assigned[name] && !canRead(name)}, readrotation.Hub{Failing: true, Stale: stale}, now)
 			if active[name] {
 				assigned[name] = true
 				reading++
@@ -40,7 +40,7 @@
 // Every router used to try to read by itself during an outage of the whole store. With assignments, little more
 // than one router a second does.
 func TestOutageUsesFewReaders(t *testing.T) {
-	assigned, reading := simulate(&rota.Rota{}, func(string) bool { return false }, 10*time.Second)
+	assigned, reading := simulate(&readrotation.Rotation{}, func(string) bool { return false }, 10*time.Second)
 	assert.Assert(t, len(assigned) >= 8 && len(assigned) <= 14, "%d assigned", len(assigned))
 	assert.Assert(t, reading <= 2)
 }
@@ -49,29 +49,29 @@
 // assigned.
 func TestWorkingReaderIsFoundAndKept(t *testing.T) {
 	canRead := func(name string) bool { return name != "0" && name != "1" }
-	assigned, _ := simulate(&rota.Rota{}, canRead, time.Second)
+	assigned, _ := simulate(&readrotation.Rotation{}, canRead, time.Second)
 	assert.Assert(t, len(assigned) <= 4)
-	assigned, reading := simulate(&rota.Rota{}, canRead, 10*time.Second)
+	assigned, reading := simulate(&readrotation.Rotation{}, canRead, 10*time.Second)
 	assert.Assert(t, len(assigned) <= 4, "%d assigned", len(assigned))
 	assert.Assert(t, reading >= 1 && reading <= 2)
 }
 
 // A hub that can read assigns no router, and a hub that starts to fail assigns none until its data becomes stale.
 func TestHubThatCanReadAssignsNobody(t *testing.T) {
-	r := &rota.Rota{}
-	one := rota.Router{Name: "a"}
-	assert.Assert(t, !r.Asks(one, rota.Hub{Failing: true}, 0))
-	assert.Assert(t, r.Asks(one, rota.Hub{Failing: true, Starving: true}, 0))
-	assert.Assert(t, r.Asks(one, rota.Hub{Failing: true}, step))
-	assert.Assert(t, !r.Asks(one, rota.Hub{}, 2*step))
+	r := &readrotation.Rotation{}
+	one := readrotation.Router{Name: "a"}
+	assert.Assert(t, !r.ShouldRead(one, readrotation.Hub{Failing: true}, 0))
+	assert.Assert(t, r.ShouldRead(one, readrotation.Hub{Failing: true, Stale: true}, 0))
+	assert.Assert(t, r.ShouldRead(one, readrotation.Hub{Failing: true}, step))
+	assert.Assert(t, !r.ShouldRead(one, readrotation.Hub{}, 2*step))
 }
 
 // A router with newer data is assigned at once, however many have been assigned before.
 func TestRouterWithNewerDataIsAssigned(t *testing.T) {
-	r := &rota.Rota{}
-	h := rota.Hub{Failing: true, Starving: true}
+	r := &readrotation.Rotation{}
+	h := readrotation.Hub{Failing: true, Stale: true}
 	for i := range 10 {
-		r.Asks(rota.Router{Name: fmt.Sprint(i)}, h, 0)
+		r.ShouldRead(readrotation.Router{Name: fmt.Sprint(i)}, h, 0)
 	}
-	assert.Assert(t, r.Asks(rota.Router{Name: "newer", Newer: true}, h, 0))
+	assert.Assert(t, r.ShouldRead(readrotation.Router{Name: "newer", HasNewer: true}, h, 0))
 }
--- a/core/note/item.go
+++ b/core/releasenote/item.go
@@ -1,4 +1,4 @@
-package note
+package releasenote
 
 import (
 	"savoryfall/core/account"
@@ -65,7 +65,7 @@
 	case KindAdapters:
 		i.name = versionName(version.ReadAdapter(t))
 	case KindModels:
-		i.name = t.Required("name")
+		i.name = t.RequiredString("name")
 	}
 	return i
 }
--- a/core/note/note.go
+++ b/core/releasenote/note.go
@@ -1,4 +1,4 @@
-package note
+package releasenote
 
 import (
 	"fmt"
@@ -38,8 +38,8 @@
 // Withdrawn returns the items to remove. They have a kind and a name only.
 func (n *Note) Withdrawn() []Item { return n.withdrawn }
 
-// Touched returns all items of the note.
-func (n *Note) Touched() []Item {
+// Items returns all items of the note.
+func (n *Note) Items() []Item {
 	all := append([]Item{}, n.added...)
 	all = append(all, n.changed...)
 	return append(all, n.withdrawn...)
@@ -48,9 +48,9 @@
 // Parse parses and validates a note. The error is a tomldoc.Faults that lists all errors.
 func Parse(file string, data []byte) (n *Note, err error) {
 	if len(data) > MaxBytes {
-		return nil, tomldoc.Faults{{
+		return nil, tomldoc.Errors{{
 			File: file, Line: 1, Key: "size",
-			Found: fmt.Sprintf("%d bytes", len(data)), Allowed: fmt.Sprintf("at most %d bytes", MaxBytes),
+			Got: fmt.Sprintf("%d bytes", len(data)), Want: fmt.Sprintf("at most %d bytes", MaxBytes),
 		}}
 	}
 	doc, err := tomldoc.Parse(file, data)
@@ -67,16 +67,16 @@
 }
 
 func readNote(t *tomldoc.Table) (n *Note) {
-	n = &Note{id: t.Required("id"), basedOn: t.Text("basedOn", "")}
+	n = &Note{id: t.RequiredString("id"), basedOn: t.String("basedOn", "")}
 	seen := map[string]string{}
 	n.added = readItems(t.Table("added"), seen)
 	n.changed = readItems(t.Table("changed"), seen)
 	n.withdrawn = readWithdrawn(t.Table("withdrawn"), seen)
 	if len(seen) == 0 {
-		t.Fault("added", "an empty note", "at least one item that is added, changed or withdrawn")
+		t.AddError("added", "an empty note", "at least one item that is added, changed or withdrawn")
 	}
 	if n.id != "" && n.id == n.basedOn {
-		t.Fault("basedOn", "the note's own id", "the id of an earlier note")
+		t.AddError("basedOn", "the note's own id", "the id of an earlier note")
 	}
 	return n
 }
@@ -94,7 +94,7 @@
 
 func readWithdrawn(t *tomldoc.Table, seen map[string]string) (items []Item) {
 	for _, kind := range Kinds {
-		for _, name := range t.Texts(kind) {
+		for _, name := range t.Strings(kind) {
 			i := Item{kind: kind, name: name}
 			checkDuplicate(t, kind, i, t.Path()+"."+kind, seen)
 			items = append(items, i)
@@ -105,7 +105,7 @@
 
 func checkDuplicate(t *tomldoc.Table, key string, i Item, location string, seen map[string]string) {
 	if first, duplicate := seen[i.Key()]; duplicate {
-		t.Fault(key, i.Key()+" a second time", "each item only once; it first appears at "+first)
+		t.AddError(key, i.Key()+" a second time", "each item only once; it first appears at "+first)
 		return
 	}
 	seen[i.Key()] = location
--- a/core/note/note_test.go
+++ b/core/releasenote/note_test.go
@@ -1,4 +1,4 @@
-package note_test
+package releasenote_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"savoryfall/core/note"
+	"savoryfall/core/releasenote"
 )
 
 const keyDigest = "sha256:0000000000000000000000000000000000000000000000000000000000000000"
@@ -27,7 +27,7 @@
 			"[[added.services]]\nname = \"s\"\npath = \"permits\"\nnotRepeatable = [\"POST\"]\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := note.Parse("note.toml", []byte(tc.text))
+			_, err := releasenote.Parse("note.toml", []byte(tc.text))
 			assert.Assert(t, err != nil)
 			golden.Assert(t, err.Error()+"\n", tc.name+".golden")
 		})
@@ -40,12 +40,12 @@
 	f.Add([]byte("id = \"n\"\n[[added.accounts]]\nname = \"a\"\nkeyDigest = \"" + keyDigest + "\"\n"))
 	f.Add([]byte("id = \"n\"\nadded = {models = [{name = \"m\"}]}\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n, err := note.Parse("fuzz", data)
+		n, err := releasenote.Parse("fuzz", data)
 		if err != nil {
 			return
 		}
-		again, err := note.Parse("fuzz", []byte(n.Text()))
+		again, err := releasenote.Parse("fuzz", []byte(n.Text()))
 		assert.NilError(t, err)
-		assert.Equal(t, len(again.Touched()), len(n.Touched()))
+		assert.Equal(t, len(again.Items()), len(n.Items()))
 	})
 }
--- a/core/ask/doc.go
+++ b/core/request/doc.go
@@ -1,2 +1,2 @@
 // Package ask holds a client's request to the router, decoded once from its protocol.
-package ask
+package request
--- /dev/null
+++ b/core/request/problem.go
@@ -0,0 +1,52 @@
+package request
+
+import (
+	"time"
+
+	"savoryfall/core/outcome"
+)
+
+// Reason is why a request was not served.
+type Reason string
+
+// The reasons that clients are told, and that logs and metrics name.
+const (
+	Malformed        Reason = "malformed"
+	HeaderTooLarge   Reason = "headerTooLarge"
+	BodyTooLarge     Reason = "bodyTooLarge"
+	BodySlow         Reason = "bodySlow"
+	UnknownKey       Reason = "unknownKey"
+	UnknownRoute     Reason = "unknownRoute"
+	NoConfiguration  Reason = "noConfiguration"
+	StaleKeys        Reason = "staleKeys"
+	Stopping         Reason = "stopping"
+	NoEndpoint       Reason = "noEndpoint"
+	Full             Reason = "full"
+	Reserved         Reason = "reserved"
+	Refused          Reason = "refused"
+	Unreachable      Reason = "unreachable"
+	Broken           Reason = "broken"
+	DeadlineExceeded Reason = "late"
+	ClientGone       Reason = "clientGone"
+	// ConnectionEnded means that this router has closed the client's connection.
+	ConnectionEnded Reason = "connectionEnded"
+)
+
+// Problem is the answer to a request that was not served.
+type Problem struct {
+	Reason  Reason
+	Outcome outcome.Outcome
+	// RetryAfter is when the client should retry, 0 if it should not.
+	RetryAfter time.Duration
+}
+
+// Error returns the reason and whether the request was executed.
+func (p *Problem) Error() string { return string(p.Reason) + " (" + string(p.Outcome) + ")" }
+
+// NotExecuted returns a problem of a request that was not executed and will not be.
+func NotRun(r Reason, back time.Duration) *Problem {
+	return &Problem{Reason: r, Outcome: outcome.NotRun, RetryAfter: back}
+}
+
+// Unknown returns a problem of a request that may have been executed.
+func Unknown(r Reason) *Problem { return &Problem{Reason: r, Outcome: outcome.Unknown} }
--- a/core/comeback/after.go
+++ b/core/retryafter/after.go
@@ -1,4 +1,4 @@
-package comeback
+package retryafter
 
 import "time"
 
@@ -16,11 +16,11 @@
 	jitter = 0.25
 )
 
-// After returns the delay after which to retry at a service that has been full for the given time. How long an
+// Delay returns the delay after which to retry at a service that has been full for the given time. How long an
 // overload still lasts is not known; the best guess is as long as it has lasted. A client that retries during the same
 // overload is refused for the last time, because clients try only a few times. Early in an overload the delay is short
 // enough to serve the client on time, in case the overload is short. draw is a uniform random number in [0, 1).
-func After(full, goal, left time.Duration, draw float64) time.Duration {
+func Delay(full, goal, left time.Duration, draw float64) time.Duration {
 	delay := max(full, time.Duration(goalFraction*float64(goal)), minDelay)
 	delay = time.Duration(float64(delay) * (1 - jitter + 2*jitter*draw))
 	return max(min(delay, time.Duration(maxLeftFraction*float64(left))), 0)
--- a/core/comeback/after_test.go
+++ b/core/retryafter/after_test.go
@@ -1,4 +1,4 @@
-package comeback_test
+package retryafter_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/comeback"
+	"savoryfall/core/retryafter"
 )
 
 // A surge lasts eight seconds and one client in five is admitted. Clients try twice. When all retried after 200 ms,
@@ -16,7 +16,7 @@
 	const surge, patience, goal = 8 * time.Second, 15 * time.Second, 800 * time.Millisecond
 	outlasted := 0
 	for at := time.Duration(0); at < surge; at += 100 * time.Millisecond {
-		if at+comeback.After(at, goal, patience, 0.5) >= surge {
+		if at+retryafter.Delay(at, goal, patience, 0.5) >= surge {
 			outlasted++
 		}
 	}
@@ -37,6 +37,6 @@
 		"a client with little time left":  {3 * s, s, 3 * s, 0.5, s},
 		"a client whose time has run out": {3 * s, s, -s, 0.5, 0},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, comeback.After(c.full, c.goal, c.left, c.draw), c.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, retryafter.Delay(c.full, c.goal, c.left, c.draw), c.want) })
 	}
 }
--- a/core/comeback/doc.go
+++ b/core/retryafter/doc.go
@@ -1,2 +1,2 @@
 // Package comeback computes when the client of a refused request should retry.
-package comeback
+package retryafter
--- a/core/retry/budget.go
+++ b/core/retrybudget/budget.go
@@ -1,4 +1,4 @@
-package retry
+package retrybudget
 
 import "sync"
 
@@ -20,8 +20,8 @@
 // NewBudget returns a budget that allows ratio retries for each first attempt.
 func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio} }
 
-// First counts a first attempt at the pool.
-func (b *Budget) First(pool string) {
+// RecordFirst counts a first attempt at the pool.
+func (b *Budget) RecordFirst(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.set(pool, min(b.get(pool)+b.ratio, maxTokens))
--- a/core/retry/doc.go
+++ b/core/retrybudget/doc.go
@@ -1,2 +1,2 @@
 // Package retry holds the budget for retries.
-package retry
+package retrybudget
--- a/core/retryshare/doc.go
+++ b/core/retrylimit/doc.go
@@ -1,2 +1,2 @@
 // Package retryshare gives a router its share of the retries that all routers together may send to a service.
-package retryshare
+package retrylimit
--- a/core/retryshare/share.go
+++ b/core/retrylimit/share.go
@@ -1,15 +1,15 @@
-package retryshare
+package retrylimit
 
 import (
 	"sync"
 	"time"
 )
 
-// Share counts first attempts and retries of this router in sliding windows, by service. The fleet's bound in any
+// Limiter counts first attempts and retries of this router in sliding windows, by service. The fleet's bound in any
 // window is a ratio of the requests plus a fixed slack. The ratio needs no division, since each router applies it to
 // its own requests; the slack is divided by the number of routers. A router that has just started has counted nothing
 // and has only its part of the slack, so that many restarts at once add no retries. The zero value allows none.
-type Share struct {
+type Limiter struct {
 	mu     sync.Mutex
 	limits Limits
 	// epoch is when counting began. Slots are counted on the monotonic clock, because the wall clock jumps.
@@ -44,7 +44,7 @@
 }
 
 // SetLimits replaces the limits. The counts are kept unless the window changes.
-func (s *Share) SetLimits(l Limits) {
+func (s *Limiter) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Window != s.limits.Window {
@@ -53,8 +53,8 @@
 	s.limits = l
 }
 
-// First counts a request for the service.
-func (s *Share) First(service string, now time.Time) {
+// RecordFirst counts a request for the service.
+func (s *Limiter) RecordFirst(service string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.slidingCounts(service, now); c != nil {
@@ -63,7 +63,7 @@
 }
 
 // Allow reports whether a retry at the service is allowed, and counts it if so.
-func (s *Share) Allow(service string, now time.Time) bool {
+func (s *Limiter) Allow(service string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.slidingCounts(service, now)
@@ -74,8 +74,8 @@
 	return true
 }
 
-// Left returns how many retries at the service this router may make now.
-func (s *Share) Left(service string, now time.Time) float64 {
+// Remaining returns how many retries at the service this router may make now.
+func (s *Limiter) Remaining(service string, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.slidingCounts(service, now)
@@ -85,7 +85,7 @@
 	return s.remaining(c)
 }
 
-func (s *Share) remaining(c *slidingCounts) float64 {
+func (s *Limiter) remaining(c *slidingCounts) float64 {
 	firsts, retries := 0, 0
 	for i := range c.firsts {
 		firsts += c.firsts[i]
@@ -96,7 +96,7 @@
 }
 
 // slidingCounts returns the counts of the service, advanced to now.
-func (s *Share) slidingCounts(service string, now time.Time) *slidingCounts {
+func (s *Limiter) slidingCounts(service string, now time.Time) *slidingCounts {
 	if s.limits.Window <= 0 {
 		return nil
 	}
--- a/core/retryshare/share_test.go
+++ b/core/retrylimit/share_test.go
@@ -1,4 +1,4 @@
-package retryshare_test
+package retrylimit_test
 
 import (
 	"flag"
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"savoryfall/core/retryshare"
+	"savoryfall/core/retrylimit"
 )
 
 func TestMain(m *testing.M) {
@@ -19,13 +19,13 @@
 
 var start = time.Unix(1000, 0)
 
-func limits(routers int) retryshare.Limits {
-	return retryshare.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Routers: routers}
+func limits(routers int) retrylimit.Limits {
+	return retrylimit.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Routers: routers}
 }
 
 func TestZeroValueAllowsNothing(t *testing.T) {
-	var s retryshare.Share
-	s.First("a", start)
+	var s retrylimit.Limiter
+	s.RecordFirst("a", start)
 	assert.Assert(t, !s.Allow("a", start))
 }
 
@@ -34,7 +34,7 @@
 func TestRestartsMintNoRetries(t *testing.T) {
 	total := 0
 	for range 10 {
-		var s retryshare.Share
+		var s retrylimit.Limiter
 		s.SetLimits(limits(10))
 		for s.Allow("a", start) {
 			total++
@@ -48,7 +48,7 @@
 func TestFleetStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 4
-		shares := make([]retryshare.Share, routers)
+		shares := make([]retrylimit.Limiter, routers)
 		for i := range shares {
 			shares[i].SetLimits(limits(routers))
 		}
@@ -58,7 +58,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "ms")) * time.Millisecond)
 			s := &shares[rapid.IntRange(0, routers-1).Draw(t, "router")]
 			if rapid.IntRange(0, 3).Draw(t, "kind") > 0 {
-				s.First("a", now)
+				s.RecordFirst("a", now)
 				firsts = append(firsts, now)
 			}
 			for s.Allow("a", now) {
@@ -86,7 +86,7 @@
 
 // The wall clock jumps; the windows must neither empty nor stand still.
 func TestWindowFollowsTheGivenClock(t *testing.T) {
-	var s retryshare.Share
+	var s retrylimit.Limiter
 	s.SetLimits(limits(1))
 	n := 0
 	for s.Allow("a", start) {
--- a/core/orders/plan.go
+++ b/core/rollout/plan.go
@@ -1,4 +1,4 @@
-package orders
+package rollout
 
 import (
 	"slices"
@@ -12,16 +12,16 @@
 	Loaded []string
 }
 
-// Wanted is a version or adapter that Replicas engines should have loaded; zero means all engines that may serve the
+// WantedVersion is a version or adapter that Replicas engines should have loaded; zero means all engines that may serve the
 // model.
-type Wanted struct {
+type WantedVersion struct {
 	Model    string
 	Name     string
 	Replicas int
 }
 
 // ID returns the identifier that engines use for the version.
-func (w Wanted) ID() string { return w.Model + "@" + w.Name }
+func (w WantedVersion) ID() string { return w.Model + "@" + w.Name }
 
 // Order is the complete list of versions that an engine should have loaded. An order that is delivered twice or late
 // does no lasting harm, because the next comparison corrects its effect.
@@ -36,7 +36,7 @@
 // at most loads loads in total; versions that are no longer wanted are unloaded. An old version is kept on an engine
 // until enough engines have loaded the new versions of its model, so that a model has loaded replicas throughout a
 // rollout.
-func Plan(wanted []Wanted, engines []Engine, loads int) (orders []Order) {
+func Plan(wanted []WantedVersion, engines []Engine, loads int) (orders []Order) {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return strings.Compare(a.Name, b.Name) })
 	p := planner{wanted: wanted, engines: engines, replicas: map[string]int{}}
@@ -55,7 +55,7 @@
 }
 
 type planner struct {
-	wanted   []Wanted
+	wanted   []WantedVersion
 	engines  []Engine
 	replicas map[string]int
 }
@@ -65,7 +65,7 @@
 func (p *planner) newLoads(loads int) (newLoads map[string][]string) {
 	newLoads = map[string][]string{}
 	wanted := slices.Clone(p.wanted)
-	slices.SortStableFunc(wanted, func(a, b Wanted) int { return p.replicas[a.ID()] - p.replicas[b.ID()] })
+	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return p.replicas[a.ID()] - p.replicas[b.ID()] })
 	for _, w := range wanted {
 		missing := p.targetReplicas(w) - p.replicas[w.ID()]
 		for _, e := range p.engines {
@@ -83,7 +83,7 @@
 	return newLoads
 }
 
-func (p *planner) targetReplicas(w Wanted) (n int) {
+func (p *planner) targetReplicas(w WantedVersion) (n int) {
 	for _, e := range p.engines {
 		if slices.Contains(e.Models, w.Model) {
 			n++
