--- a/core/orders/plan_test.go
+++ b/core/rollout/plan_test.go
@@ -1,4 +1,4 @@
-package orders_test
+package rollout_test
 
 import (
 	"fmt"
@@ -7,18 +7,18 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/orders"
+	"savoryfall/core/rollout"
 )
 
-func engines(n int, loaded ...string) (list []orders.Engine) {
+func engines(n int, loaded ...string) (list []rollout.Engine) {
 	for i := range n {
-		list = append(list, orders.Engine{Name: fmt.Sprintf("e%d", i), Models: []string{"m"}, Loaded: loaded})
+		list = append(list, rollout.Engine{Name: fmt.Sprintf("e%d", i), Models: []string{"m"}, Loaded: loaded})
 	}
 	return list
 }
 
 // applyOrders sets the loaded versions of the engines to those in the orders.
-func applyOrders(list []orders.Engine, planned []orders.Order) {
+func applyOrders(list []rollout.Engine, planned []rollout.Order) {
 	for _, o := range planned {
 		for i := range list {
 			if list[i].Name == o.Engine {
@@ -28,7 +28,7 @@
 	}
 }
 
-func countLoaded(list []orders.Engine, id string) (n int) {
+func countLoaded(list []rollout.Engine, id string) (n int) {
 	for _, e := range list {
 		if slices.Contains(e.Loaded, id) {
 			n++
@@ -41,9 +41,9 @@
 // then unloaded.
 func TestRolloutKeepsTheOldVersionWarm(t *testing.T) {
 	list := engines(4, "m@v1")
-	wanted := []orders.Wanted{{Model: "m", Name: "v2"}}
+	wanted := []rollout.WantedVersion{{Model: "m", Name: "v2"}}
 	for _, want := range [][2]int{{4, 2}, {4, 4}, {0, 4}} {
-		planned := orders.Plan(wanted, list, 2)
+		planned := rollout.Plan(wanted, list, 2)
 		loads := 0
 		for _, o := range planned {
 			loads += o.Loads
@@ -52,14 +52,14 @@
 		applyOrders(list, planned)
 		assert.Equal(t, [2]int{countLoaded(list, "m@v1"), countLoaded(list, "m@v2")}, want)
 	}
-	assert.Equal(t, len(orders.Plan(wanted, list, 2)), 0)
+	assert.Equal(t, len(rollout.Plan(wanted, list, 2)), 0)
 }
 
 // With a single load available, the version with the fewest replicas is loaded first.
 func TestMostWantedFirst(t *testing.T) {
 	list := engines(3, "m@a")
 	list[0].Loaded = []string{"m@a", "m@b"}
-	planned := orders.Plan([]orders.Wanted{{Model: "m", Name: "a"}, {Model: "m", Name: "b"}, {Model: "m", Name: "c"}}, list, 1)
+	planned := rollout.Plan([]rollout.WantedVersion{{Model: "m", Name: "a"}, {Model: "m", Name: "b"}, {Model: "m", Name: "c"}}, list, 1)
 	assert.Equal(t, len(planned), 1)
 	assert.Assert(t, slices.Contains(planned[0].Loaded, "m@c"))
 }
@@ -68,9 +68,9 @@
 func TestLateOrderIsUndone(t *testing.T) {
 	list := engines(2, "m@v2")
 	list[0].Loaded = []string{"m@v1"}
-	wanted := []orders.Wanted{{Model: "m", Name: "v2"}}
+	wanted := []rollout.WantedVersion{{Model: "m", Name: "v2"}}
 	for range 2 {
-		applyOrders(list, orders.Plan(wanted, list, 2))
+		applyOrders(list, rollout.Plan(wanted, list, 2))
 	}
 	assert.Equal(t, countLoaded(list, "m@v2"), 2)
 	assert.Equal(t, countLoaded(list, "m@v1"), 0)
--- a/core/routetable/ranking_test.go
+++ b/core/routetable/ranking_test.go
@@ -20,7 +20,7 @@
 	accounts := []routetable.Account{
 		{Name: "first", HasPriority: true}, {Name: "usual", HasPriority: true, Priority: 4}, {Name: "none"},
 	}
-	table := routetable.New(routetable.Contents{Routes: routes, Accounts: accounts})
+	table := routetable.New(routetable.Config{Routes: routes, Accounts: accounts})
 	order := []struct{ account, route, rank int }{
 		{0, 0, 0}, {0, 1, 1}, {1, 0, 2}, {1, 1, 3}, {2, 0, 2}, {2, 1, 3},
 	}
@@ -29,6 +29,6 @@
 	}
 	assert.Equal(t, table.Rank("plain", &routes[2], &accounts[1]), 1)
 	assert.Equal(t, table.Rank("plain", &routes[2], &accounts[0]), 0)
-	alone := routetable.New(routetable.Contents{Routes: routes})
+	alone := routetable.New(routetable.Config{Routes: routes})
 	assert.Equal(t, alone.Rank("models", &routes[1], nil), 1)
 }
--- a/core/routetable/table.go
+++ b/core/routetable/table.go
@@ -33,16 +33,16 @@
 	Targets    []Target
 	// Timeout limits the total time of a request. Goal is the time within which a response has its full value to
 	// the client. Pause is the longest gap between two events of a stream that still counts as on time.
-	Timeout     time.Duration
-	Goal        time.Duration
-	Pause       time.Duration
-	Priority    int
-	MaxAttempts int
+	Timeout      time.Duration
+	ResponseGoal time.Duration
+	MaxEventGap  time.Duration
+	Priority     int
+	MaxAttempts  int
 	// Public routes need no key.
 	Public bool
 }
 
-// Target is a service that handles a share of a route's requests in proportion to its weight.
+// ChooseService is a service that handles a share of a route's requests in proportion to its weight.
 type Target struct {
 	Service string
 	Weight  float64
@@ -64,7 +64,7 @@
 	ColdPerSecond float64
 }
 
-// Account is a client account and the keys that identify it.
+// AccountByKey is a client account and the keys that identify it.
 type Account struct {
 	Name string
 	Keys []string
@@ -75,10 +75,10 @@
 
 // Limits restrict what a client may send.
 type Limits struct {
-	MaxHeader     int
-	MaxBody       int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Table is an immutable index of one version of the configuration.
@@ -93,22 +93,22 @@
 	priorities    priorityIndex
 }
 
-// Contents are the parts of the configuration that a Table is built from.
-type Contents struct {
+// Config are the parts of the configuration that a Table is built from.
+type Config struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	// Keyed is set if requests need a key unless their route is public.
-	Keyed  bool
-	Limits Limits
+	// RequiresKey is set if requests need a key unless their route is public.
+	RequireKey bool
+	Limits     Limits
 }
 
 // New builds a table from the contents.
-func New(c Contents) *Table {
+func New(c Config) *Table {
 	t := &Table{
 		version: c.Version, byHost: map[string][]*Route{}, services: map[string]*Service{},
-		accountsByKey: map[string]*Account{}, requiresKey: c.Keyed, limits: c.Limits, routeCount: len(c.Routes),
+		accountsByKey: map[string]*Account{}, requiresKey: c.RequireKey, limits: c.Limits, routeCount: len(c.Routes),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -131,20 +131,20 @@
 // Version returns the version number of the configuration; newer versions have higher numbers.
 func (t *Table) Version() int64 { return t.version }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int { return t.routeCount }
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int { return t.routeCount }
 
 // Limits returns the limits on what a client may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Keyed returns whether requests need a key unless their route is public.
-func (t *Table) Keyed() bool { return t.requiresKey }
+// RequiresKey returns whether requests need a key unless their route is public.
+func (t *Table) RequiresKey() bool { return t.requiresKey }
 
 // Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns the names of all services, sorted.
-func (t *Table) Services() (names []string) {
+// ServiceNames returns the names of all services, sorted.
+func (t *Table) ServiceNames() (names []string) {
 	for name := range t.services {
 		names = append(names, name)
 	}
@@ -152,8 +152,8 @@
 	return names
 }
 
-// Account returns the client account that holds the key, or nil.
-func (t *Table) Account(key string) *Account { return t.accountsByKey[key] }
+// AccountByKey returns the client account that holds the key, or nil.
+func (t *Table) AccountByKey(key string) *Account { return t.accountsByKey[key] }
 
 // Route returns the route of the host with the longest matching path prefix, or nil. A port in the host is
 // ignored.
@@ -167,8 +167,8 @@
 	return best
 }
 
-// Target chooses a service by weight; draw is uniform in [0, 1).
-func (r *Route) Target(draw float64) string {
+// ChooseService chooses a service by weight; draw is uniform in [0, 1).
+func (r *Route) ChooseService(draw float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
--- a/core/routetable/table_test.go
+++ b/core/routetable/table_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRouteMatchesLongestPrefix(t *testing.T) {
-	table := routetable.New(routetable.Contents{Routes: []routetable.Route{
+	table := routetable.New(routetable.Config{Routes: []routetable.Route{
 		{Name: "all", Host: "A.example", PathPrefix: "/"},
 		{Name: "x", Host: "a.example", PathPrefix: "/x/"},
 		{Name: "xy", Host: "a.example", PathPrefix: "/x/y/"},
@@ -35,9 +35,9 @@
 
 func TestTargetsAreChosenByWeight(t *testing.T) {
 	r := routetable.Route{Targets: []routetable.Target{{Service: "a", Weight: 90}, {Service: "none"}, {Service: "b", Weight: 10}}}
-	assert.Equal(t, r.Target(0), "a")
-	assert.Equal(t, r.Target(0.89), "a")
-	assert.Equal(t, r.Target(0.9), "b")
-	assert.Equal(t, r.Target(0.999), "b")
-	assert.Equal(t, (&routetable.Route{}).Target(0.5), "")
+	assert.Equal(t, r.ChooseService(0), "a")
+	assert.Equal(t, r.ChooseService(0.89), "a")
+	assert.Equal(t, r.ChooseService(0.9), "b")
+	assert.Equal(t, r.ChooseService(0.999), "b")
+	assert.Equal(t, (&routetable.Route{}).ChooseService(0.5), "")
 }
--- a/core/service/service.go
+++ b/core/service/service.go
@@ -15,16 +15,16 @@
 
 // Read reads a service from its TOML table and reports invalid values to the table.
 func Read(t *tomldoc.Table) (s Service) {
-	s.name = t.Required("name")
-	s.path = t.Required("path")
-	s.notRepeatable = t.Texts("notRepeatable")
+	s.name = t.RequiredString("name")
+	s.path = t.RequiredString("path")
+	s.notRepeatable = t.Strings("notRepeatable")
 	if s.path != "" && (!strings.HasPrefix(s.path, "/") || strings.HasPrefix(s.path, "/v1/")) {
-		t.Fault("path", s.path, "a prefix that begins with / and is not under /v1/")
+		t.AddError("path", s.path, "a prefix that begins with / and is not under /v1/")
 	}
 	for _, call := range s.notRepeatable {
 		method, path, ok := strings.Cut(call, " ")
 		if !ok || method == "" || !strings.HasPrefix(path, "/") {
-			t.Fault("notRepeatable", call, "a method and a path, such as \"POST /permits/issue\"")
+			t.AddError("notRepeatable", call, "a method and a path, such as \"POST /permits/issue\"")
 		}
 	}
 	return s
--- a/core/settings/callers.go
+++ b/core/settings/callers.go
@@ -21,8 +21,8 @@
 func readCallers(t *tomldoc.Table) (c Callers) {
 	c.address = readAddress(t)
 	c.certificate, c.key = readCertificate(t)
-	c.maxBody = t.Number("maxBodyBytes", 4<<20, 1<<10, 1<<30)
-	c.maxHeader = t.Number("maxHeaderBytes", 32<<10, 4<<10, 1<<20)
+	c.maxBody = t.Int("maxBodyBytes", 4<<20, 1<<10, 1<<30)
+	c.maxHeader = t.Int("maxHeaderBytes", 32<<10, 4<<10, 1<<20)
 	c.bodyTimeout = t.Duration("bodyTimeout", 30*time.Second, 100*time.Millisecond, time.Hour)
 	c.headerTimeout = t.Duration("headerTimeout", 10*time.Second, 100*time.Millisecond, time.Hour)
 	c.lameDuck = t.Duration("lameDuck", 2*time.Second, 0, 10*time.Minute)
@@ -38,11 +38,11 @@
 // Key returns the file of the certificate's private key.
 func (c Callers) Key() string { return c.key }
 
-// MaxBody returns the maximum size of a request body in bytes.
-func (c Callers) MaxBody() int64 { return c.maxBody }
+// MaxBodyBytes returns the maximum size of a request body in bytes.
+func (c Callers) MaxBodyBytes() int64 { return c.maxBody }
 
-// MaxHeader returns the maximum size of the request headers in bytes.
-func (c Callers) MaxHeader() int { return int(c.maxHeader) }
+// MaxHeaderBytes returns the maximum size of the request headers in bytes.
+func (c Callers) MaxHeaderBytes() int { return int(c.maxHeader) }
 
 // BodyTimeout returns the maximum time to read a request body.
 func (c Callers) BodyTimeout() time.Duration { return c.bodyTimeout }
--- a/core/settings/entry.go
+++ b/core/settings/entry.go
@@ -16,7 +16,7 @@
 	linkMbps      float64
 	changesWithin time.Duration
 	drainedWithin time.Duration
-	cold          Cold
+	cold          ColdLimits
 	clients       string
 	readiness     string
 	metrics       string
@@ -25,37 +25,37 @@
 	store         string
 	keyTerm       time.Duration
 	grace         time.Duration
-	retries       Retries
+	retries       RetryBudget
 	traces        Traces
 }
 
-// Retries holds the section retries: the retry budget of the whole fleet for one service.
-type Retries struct {
+// RetryBudget holds the section retries: the retry budget of the whole fleet for one service.
+type RetryBudget struct {
 	ratio  float64
 	slack  float64
 	window time.Duration
 }
 
 // Ratio returns the number of retries allowed per request.
-func (r Retries) Ratio() float64 { return r.ratio }
+func (r RetryBudget) Ratio() float64 { return r.ratio }
 
 // Slack returns the number of retries allowed in a window in addition to the ratio.
-func (r Retries) Slack() float64 { return r.slack }
+func (r RetryBudget) Slack() float64 { return r.slack }
 
-// Window returns the time window over which requests and retries are counted.
-func (r Retries) Window() time.Duration { return r.window }
+// KeyRetention returns the time window over which requests and retries are counted.
+func (r RetryBudget) Window() time.Duration { return r.window }
 
-// Cold holds the section cold: by how much all routers together may exceed the rate of a cold endpoint.
-type Cold struct {
+// ColdLimits holds the section cold: by how much all routers together may exceed the rate of a cold endpoint.
+type ColdLimits struct {
 	overrun float64
 	slack   float64
 }
 
 // Overrun returns the allowed request rate of a cold endpoint as a multiple of its stated rate.
-func (c Cold) Overrun() float64 { return c.overrun }
+func (c ColdLimits) Overrun() float64 { return c.overrun }
 
 // Slack returns the number of requests per second allowed in addition to that.
-func (c Cold) Slack() float64 { return c.slack }
+func (c ColdLimits) Slack() float64 { return c.slack }
 
 // ParseEntry parses and validates a settings file. The error is a tomldoc.Faults that lists all errors.
 func ParseEntry(file string, data []byte) (s *Entry, err error) {
@@ -66,10 +66,10 @@
 	t := doc.Root()
 	s = &Entry{
 		vm:        readVM(t.Table("vm")),
-		cores:     t.Table("vm").Real("cores", 1, 0, 1024),
-		bootstrap: t.Table("vm").Flag("bootstrap", false),
-		memoryMB:  t.Table("vm").Real("memoryMB", 0, 0, 1e9),
-		linkMbps:  t.Table("vm").Real("linkMbps", 0, 0, 1e9),
+		cores:     t.Table("vm").Float("cores", 1, 0, 1024),
+		bootstrap: t.Table("vm").Bool("bootstrap", false),
+		memoryMB:  t.Table("vm").Float("memoryMB", 0, 0, 1e9),
+		linkMbps:  t.Table("vm").Float("linkMbps", 0, 0, 1e9),
 		clients:   readAddress(t.Table("clients")),
 		readiness: readAddress(t.Table("readiness")),
 		metrics:   readAddress(t.Table("metrics")),
@@ -84,7 +84,7 @@
 	const announced = "announced"
 	s.changesWithin = readChangesWithin(t.Table("store"))
 	s.drainedWithin = readDrainedWithin(t.Table("store"))
-	s.announced = validateAddress(t.Table("peers"), announced, t.Table("peers").Text(announced, s.peers))
+	s.announced = validateAddress(t.Table("peers"), announced, t.Table("peers").String(announced, s.peers))
 	return s, doc.Err()
 }
 
@@ -100,13 +100,13 @@
 	return t.Duration("drainedWithin", 5*time.Second, 500*time.Millisecond, time.Minute)
 }
 
-func readCold(t *tomldoc.Table) Cold {
-	return Cold{overrun: t.Real("overrun", 1, 1, 1000), slack: t.Real("slack", 0, 0, 1e6)}
+func readCold(t *tomldoc.Table) ColdLimits {
+	return ColdLimits{overrun: t.Float("overrun", 1, 1, 1000), slack: t.Float("slack", 0, 0, 1e6)}
 }
 
-func readRetries(t *tomldoc.Table) (r Retries) {
-	r.ratio = t.Real("ratio", 0.2, 0, 10)
-	r.slack = t.Real("slack", 20, 0, 1e6)
+func readRetries(t *tomldoc.Table) (r RetryBudget) {
+	r.ratio = t.Float("ratio", 0.2, 0, 10)
+	r.slack = t.Float("slack", 20, 0, 1e6)
 	r.window = t.Duration("window", 10*time.Second, time.Second, time.Hour)
 	return r
 }
@@ -126,8 +126,8 @@
 // LinkMbps returns the network bandwidth of the VM; 0 means unknown.
 func (s *Entry) LinkMbps() float64 { return s.linkMbps }
 
-// Cold returns the limits on requests to endpoints that have just started.
-func (s *Entry) Cold() Cold { return s.cold }
+// ColdLimits returns the limits on requests to endpoints that have just started.
+func (s *Entry) Cold() ColdLimits { return s.cold }
 
 // DrainedWithin returns how long it may take until the drain of a failure domain is in force on every router.
 func (s *Entry) DrainedWithin() time.Duration { return s.drainedWithin }
@@ -136,33 +136,33 @@
 // of the limits for configuration changes, leaving endpoints and drained failure domains.
 func (s *Entry) ChangesWithin() time.Duration { return s.changesWithin }
 
-// Clients returns the listen address for clients.
-func (s *Entry) Clients() string { return s.clients }
+// ClientAddress returns the listen address for clients.
+func (s *Entry) ClientAddress() string { return s.clients }
 
-// Readiness returns the listen address of the readiness check for the load balancer.
-func (s *Entry) Readiness() string { return s.readiness }
+// ReadinessAddress returns the listen address of the readiness check for the load balancer.
+func (s *Entry) ReadinessAddress() string { return s.readiness }
 
-// Metrics returns the listen address for metrics.
-func (s *Entry) Metrics() string { return s.metrics }
+// MetricsAddress returns the listen address for metrics.
+func (s *Entry) MetricsAddress() string { return s.metrics }
 
-// Announced returns the address at which other routers reach this one. It is that of Peers, unless there is a proxy or
+// AdvertisedAddress returns the address at which other routers reach this one. It is that of Peers, unless there is a proxy or
 // NAT between them.
-func (s *Entry) Announced() string { return s.announced }
+func (s *Entry) AdvertisedAddress() string { return s.announced }
 
-// Peers returns the listen address for other routers.
-func (s *Entry) Peers() string { return s.peers }
+// PeerAddress returns the listen address for other routers.
+func (s *Entry) PeerAddress() string { return s.peers }
 
-// Store returns the address of the platform's store.
-func (s *Entry) Store() string { return s.store }
+// StoreAddress returns the address of the platform's store.
+func (s *Entry) StoreAddress() string { return s.store }
 
-// KeyTerm returns how long an API key may still be accepted after its withdrawal.
-func (s *Entry) KeyTerm() time.Duration { return s.keyTerm }
+// WithdrawnKeyTTL returns how long an API key may still be accepted after its withdrawal.
+func (s *Entry) WithdrawnKeyTTL() time.Duration { return s.keyTerm }
 
-// Grace returns how long the process may take to shut down.
-func (s *Entry) Grace() time.Duration { return s.grace }
+// ShutdownGrace returns how long the process may take to shut down.
+func (s *Entry) ShutdownGrace() time.Duration { return s.grace }
 
-// Retries returns the retry budget of the whole fleet.
-func (s *Entry) Retries() Retries { return s.retries }
+// RetryBudget returns the retry budget of the whole fleet.
+func (s *Entry) Retries() RetryBudget { return s.retries }
 
 // Traces returns the destination of trace spans.
 func (s *Entry) Traces() Traces { return s.traces }
--- a/core/settings/entry_test.go
+++ b/core/settings/entry_test.go
@@ -28,11 +28,11 @@
 func TestEntryDefaults(t *testing.T) {
 	s, err := settings.ParseEntry("entry.toml", []byte(validEntry))
 	assert.NilError(t, err)
-	assert.Equal(t, s.KeyTerm(), 5*time.Second)
-	assert.Equal(t, s.Grace(), 8*time.Second)
+	assert.Equal(t, s.WithdrawnKeyTTL(), 5*time.Second)
+	assert.Equal(t, s.ShutdownGrace(), 8*time.Second)
 	assert.Equal(t, s.Cores(), 1.0)
 	assert.Equal(t, s.Retries().Window(), 10*time.Second)
-	assert.Equal(t, s.Store(), "10.200.1.7:8223")
+	assert.Equal(t, s.StoreAddress(), "10.200.1.7:8223")
 }
 
 // All errors are reported at once, each with its line, its key, what was found and what is allowed.
--- a/core/settings/limits.go
+++ b/core/settings/limits.go
@@ -22,10 +22,10 @@
 	l.deadline = t.Duration("deadline", 5*time.Minute, 10*time.Millisecond, 24*time.Hour)
 	l.firstToken = t.Duration("firstToken", 30*time.Second, 10*time.Millisecond, time.Hour)
 	l.betweenTokens = t.Duration("betweenTokens", 10*time.Second, 10*time.Millisecond, time.Hour)
-	l.attempts = t.Number("attempts", 3, 1, 10)
-	l.retryRatio = t.Real("retryRatio", 0.2, 0, 1)
-	l.concurrency = t.Number("requestsPerEndpoint", 64, 1, 100000)
-	l.queue = t.Number("queue", 1000, 0, 1000000)
+	l.attempts = t.Int("attempts", 3, 1, 10)
+	l.retryRatio = t.Float("retryRatio", 0.2, 0, 1)
+	l.concurrency = t.Int("requestsPerEndpoint", 64, 1, 100000)
+	l.queue = t.Int("queue", 1000, 0, 1000000)
 	l.drain = t.Duration("drain", 2*time.Minute, 0, time.Hour)
 	return l
 }
@@ -46,11 +46,11 @@
 // RetryRatio returns the number of retries allowed per first attempt.
 func (l Limits) RetryRatio() float64 { return l.retryRatio }
 
-// Concurrency returns the maximum number of concurrent requests at an endpoint of weight 1.
-func (l Limits) Concurrency() int { return int(l.concurrency) }
+// RequestsPerEndpoint returns the maximum number of concurrent requests at an endpoint of weight 1.
+func (l Limits) RequestsPerEndpoint() int { return int(l.concurrency) }
 
-// Queue returns the maximum number of requests queued in this router.
-func (l Limits) Queue() int { return int(l.queue) }
+// QueueLength returns the maximum number of requests queued in this router.
+func (l Limits) QueueLength() int { return int(l.queue) }
 
-// Drain returns how long a planned shutdown waits for requests in flight.
-func (l Limits) Drain() time.Duration { return l.drain }
+// DrainTimeout returns how long a planned shutdown waits for requests in flight.
+func (l Limits) DrainTimeout() time.Duration { return l.drain }
--- a/core/settings/orders.go
+++ b/core/settings/orders.go
@@ -18,21 +18,21 @@
 	o.term = t.Duration("leaseTerm", 10*time.Second, 100*time.Millisecond, time.Hour)
 	o.longestOrder = t.Duration("longestOrder", 2*time.Second, 10*time.Millisecond, time.Hour)
 	o.period = t.Duration("period", 2*time.Second, 10*time.Millisecond, time.Hour)
-	o.loadsPerSecond = t.Real("loadsPerSecond", 2, 0.01, 1000)
+	o.loadsPerSecond = t.Float("loadsPerSecond", 2, 0.01, 1000)
 	if o.longestOrder*3 > o.term {
-		t.Fault("longestOrder", o.longestOrder.String(), "at most a third of orders.leaseTerm")
+		t.AddError("longestOrder", o.longestOrder.String(), "at most a third of orders.leaseTerm")
 	}
 	return o
 }
 
-// Term returns the duration of a lease on giving orders, unless it is renewed.
-func (o Orders) Term() time.Duration { return o.term }
+// LeaseTerm returns the duration of a lease on giving orders, unless it is renewed.
+func (o Orders) LeaseTerm() time.Duration { return o.term }
 
-// Longest returns the time limit of one order.
-func (o Orders) Longest() time.Duration { return o.longestOrder }
+// MaxAction returns the time limit of one order.
+func (o Orders) MaxAction() time.Duration { return o.longestOrder }
 
 // Period returns the interval at which the reported and the wanted state are compared.
 func (o Orders) Period() time.Duration { return o.period }
 
-// Loads returns the number of loads per second that the weight store sustains.
-func (o Orders) Loads() float64 { return o.loadsPerSecond }
+// LoadsPerSecond returns the number of loads per second that the weight store sustains.
+func (o Orders) LoadsPerSecond() float64 { return o.loadsPerSecond }
--- a/core/settings/peers.go
+++ b/core/settings/peers.go
@@ -6,7 +6,7 @@
 	"savoryfall/core/tomldoc"
 )
 
-// Peers holds the section peers: communication between the routers of the fleet.
+// PeerAddress holds the section peers: communication between the routers of the fleet.
 type Peers struct {
 	address        string
 	certificate    string
@@ -19,11 +19,11 @@
 func readPeers(t *tomldoc.Table) (p Peers) {
 	p.address = readAddress(t)
 	p.certificate, p.key = readCertificate(t)
-	p.authority = t.Text("authority", "")
+	p.authority = t.String("authority", "")
 	p.period = t.Duration("period", time.Second, 20*time.Millisecond, time.Minute)
-	p.bytesPerSecond = t.Number("budgetBytesPerSecond", 2048, 512, 1<<20)
+	p.bytesPerSecond = t.Int("budgetBytesPerSecond", 2048, 512, 1<<20)
 	if p.certificate != "" && p.authority == "" {
-		t.Fault("authority", "nothing", "the file of the CA certificates that signed the peers' certificates")
+		t.AddError("authority", "nothing", "the file of the CA certificates that signed the peers' certificates")
 	}
 	return p
 }
@@ -43,5 +43,5 @@
 // Period returns the interval at which heartbeats and load digests are exchanged.
 func (p Peers) Period() time.Duration { return p.period }
 
-// Budget returns the limit on control traffic in bytes per second.
-func (p Peers) Budget() int64 { return p.bytesPerSecond }
+// BytesPerSecond returns the limit on control traffic in bytes per second.
+func (p Peers) BytesPerSecond() int64 { return p.bytesPerSecond }
--- a/core/settings/platform.go
+++ b/core/settings/platform.go
@@ -20,18 +20,18 @@
 func readPlatform(t *tomldoc.Table) (p Platform) {
 	p.log = readURL(t, "log")
 	p.vmList = readURL(t, "vmList")
-	p.weightStore = t.Text("weightStore", "")
-	p.authority = t.Text("authority", "")
+	p.weightStore = t.String("weightStore", "")
+	p.authority = t.String("authority", "")
 	p.vmPeriod = t.Duration("vmListPeriod", 4*time.Second, 20*time.Millisecond, time.Hour)
 	p.retention = t.Duration("retention", 24*time.Hour, time.Second, 10000*time.Hour)
 	return p
 }
 
 func readURL(t *tomldoc.Table, key string) string {
-	text := t.Required(key)
+	text := t.RequiredString(key)
 	u, err := url.Parse(text)
 	if text != "" && (err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https") {
-		t.Fault(key, text, "a URL, such as http://10.0.0.2:7100")
+		t.AddError(key, text, "a URL, such as http://10.0.0.2:7100")
 	}
 	return text
 }
@@ -48,8 +48,8 @@
 // Authority returns the file of the CA certificates that the platform is verified against; empty selects the system's.
 func (p Platform) Authority() string { return p.authority }
 
-// VMPeriod returns the interval at which the VM list is read.
-func (p Platform) VMPeriod() time.Duration { return p.vmPeriod }
+// VMListPeriod returns the interval at which the VM list is read.
+func (p Platform) VMListPeriod() time.Duration { return p.vmPeriod }
 
 // Retention returns how long the log keeps a record.
 func (p Platform) Retention() time.Duration { return p.retention }
--- a/core/settings/routing.go
+++ b/core/settings/routing.go
@@ -19,10 +19,10 @@
 
 func readRouting(t *tomldoc.Table) (r Routing) {
 	r.policy = t.Choice("policy", "bounded", placement.Names()...)
-	r.bound = t.Real("bound", 1.3, 1.01, 100)
-	r.ticketKey = t.Text("ticketKeyFile", "")
+	r.bound = t.Float("bound", 1.3, 1.01, 100)
+	r.ticketKey = t.String("ticketKeyFile", "")
 	r.probePeriod = t.Duration("probePeriod", 1500*time.Millisecond, 20*time.Millisecond, time.Minute)
-	r.newBound = t.Real("newBound", 1, 1, 100)
+	r.newBound = t.Float("newBound", 1, 1, 100)
 	r.maturity = t.Duration("maturity", time.Minute, 0, 24*time.Hour)
 	return r
 }
@@ -33,8 +33,8 @@
 // Bound returns the maximum load of an endpoint as a multiple of the mean load.
 func (r Routing) Bound() float64 { return r.bound }
 
-// TicketKey returns the file of the secret that authenticates tickets; empty disables tickets.
-func (r Routing) TicketKey() string { return r.ticketKey }
+// TicketKeyFile returns the file of the secret that authenticates tickets; empty disables tickets.
+func (r Routing) TicketKeyFile() string { return r.ticketKey }
 
 // ProbePeriod returns the interval at which an endpoint is probed for its report, unless one has arrived otherwise.
 func (r Routing) ProbePeriod() time.Duration { return r.probePeriod }
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -51,7 +51,7 @@
 // Operators returns the section operators.
 func (s *Settings) Operators() Operators { return s.operators }
 
-// Peers returns the section peers.
+// PeerAddress returns the section peers.
 func (s *Settings) Peers() Peers { return s.peers }
 
 // Platform returns the section platform.
@@ -86,7 +86,7 @@
 			continue
 		}
 		if first, taken := seen[listener.address]; taken {
-			t.Table(listener.section).Fault("address", listener.address, "an address that no other section uses; "+first+" uses it")
+			t.Table(listener.section).AddError("address", listener.address, "an address that no other section uses; "+first+" uses it")
 		}
 		seen[listener.address] = listener.section
 	}
@@ -95,25 +95,25 @@
 // readAddress reads the address of a section: an IP address and a port.
 func readAddress(t *tomldoc.Table) string {
 	const key = "address"
-	return validateAddress(t, key, t.Required(key))
+	return validateAddress(t, key, t.RequiredString(key))
 }
 
 func validateAddress(t *tomldoc.Table, key, address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if address != "" && (err != nil || net.ParseIP(host) == nil) {
-		t.Fault(key, address, "an IP address and a port, such as 127.0.0.1:8080")
+		t.AddError(key, address, "an IP address and a port, such as 127.0.0.1:8080")
 	}
 	return address
 }
 
 // readCertificate reads the files of a certificate and its key. Either both or neither must be set.
 func readCertificate(t *tomldoc.Table) (certificate, key string) {
-	certificate, key = t.Text("certificate", ""), t.Text("key", "")
+	certificate, key = t.String("certificate", ""), t.String("key", "")
 	if certificate != "" && key == "" {
-		t.Fault("key", "nothing", "the private key file of the certificate")
+		t.AddError("key", "nothing", "the private key file of the certificate")
 	}
 	if certificate == "" && key != "" {
-		t.Fault("certificate", "nothing", "the certificate file of the key")
+		t.AddError("certificate", "nothing", "the certificate file of the key")
 	}
 	return certificate, key
 }
--- a/core/settings/traces.go
+++ b/core/settings/traces.go
@@ -9,10 +9,10 @@
 }
 
 func readTraces(t *tomldoc.Table) (s Traces) {
-	s.otlp = t.Text("otlp", "")
-	s.file = t.Text("file", "")
+	s.otlp = t.String("otlp", "")
+	s.file = t.String("file", "")
 	if s.otlp != "" && s.file != "" {
-		t.Fault("file", s.file, "one of traces.otlp and traces.file")
+		t.AddError("file", s.file, "one of traces.otlp and traces.file")
 	}
 	return s
 }
--- a/core/settings/vm.go
+++ b/core/settings/vm.go
@@ -16,12 +16,12 @@
 }
 
 func readVM(t *tomldoc.Table) (v VM) {
-	v.name = t.Required("name")
-	v.failureDomain = t.Required("failureDomain")
-	v.region = t.Text("region", "")
-	v.failureDomains = t.Texts("failureDomains")
+	v.name = t.RequiredString("name")
+	v.failureDomain = t.RequiredString("failureDomain")
+	v.region = t.String("region", "")
+	v.failureDomains = t.Strings("failureDomains")
 	if len(v.failureDomains) > 0 && v.failureDomain != "" && !slices.Contains(v.failureDomains, v.failureDomain) {
-		t.Fault("failureDomain", v.failureDomain, "one of vm.failureDomains: "+strings.Join(v.failureDomains, ", "))
+		t.AddError("failureDomain", v.failureDomain, "one of vm.failureDomains: "+strings.Join(v.failureDomains, ", "))
 	}
 	return v
 }
--- a/core/eventsplit/splitter.go
+++ b/core/sse/splitter.go
@@ -1,4 +1,4 @@
-package eventsplit
+package sse
 
 import (
 	"bytes"
@@ -24,9 +24,9 @@
 	HasID bool
 }
 
-// Write appends the next bytes of the stream and returns the events that are now complete. It returns ok false if an
+// Feed appends the next bytes of the stream and returns the events that are now complete. It returns ok false if an
 // event exceeds MaxEvent. The bytes of the events are valid until the next call.
-func (s *Splitter) Write(p []byte) (events []Event, ok bool) {
+func (s *Splitter) Feed(p []byte) (events []Event, ok bool) {
 	s.buf = append(s.buf, p...)
 	rest := s.buf
 	for {
@@ -44,8 +44,8 @@
 	return events, len(s.buf) <= MaxEvent
 }
 
-// Partial reports whether the buffer holds part of an incomplete event.
-func (s *Splitter) Partial() bool { return len(s.buf) > 0 }
+// HasPartialEvent reports whether the buffer holds part of an incomplete event.
+func (s *Splitter) HasPartialEvent() bool { return len(s.buf) > 0 }
 
 // eventLength returns the length of the first event including its blank line, or -1 if the event is incomplete.
 func eventLength(p []byte) int {
--- a/core/eventsplit/splitter_test.go
+++ b/core/sse/splitter_test.go
@@ -1,4 +1,4 @@
-package eventsplit_test
+package sse_test
 
 import (
 	"bytes"
@@ -6,13 +6,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/eventsplit"
+	"savoryfall/core/sse"
 )
 
 func splitAll(t *testing.T, pieces ...string) (events []string, ids []int64, partial bool) {
-	var s eventsplit.Splitter
+	var s sse.Splitter
 	for _, p := range pieces {
-		written, ok := s.Write([]byte(p))
+		written, ok := s.Feed([]byte(p))
 		assert.Assert(t, ok)
 		for _, e := range written {
 			events = append(events, string(e.Bytes))
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	return events, ids, s.Partial()
+	return events, ids, s.HasPartialEvent()
 }
 
 func TestWholeEvents(t *testing.T) {
@@ -37,10 +37,10 @@
 }
 
 func TestEndlessEventIsGivenUp(t *testing.T) {
-	var s eventsplit.Splitter
+	var s sse.Splitter
 	ok := true
-	for range eventsplit.MaxEvent/1000 + 2 {
-		_, ok = s.Write(bytes.Repeat([]byte("x"), 1000))
+	for range sse.MaxEvent/1000 + 2 {
+		_, ok = s.Feed(bytes.Repeat([]byte("x"), 1000))
 	}
 	assert.Assert(t, !ok)
 }
@@ -54,17 +54,17 @@
 		if step < 1 || len(data) > 1<<16 {
 			return
 		}
-		var s eventsplit.Splitter
+		var s sse.Splitter
 		var out []byte
 		for rest := data; len(rest) > 0; {
 			n := min(step, len(rest))
-			events, _ := s.Write(rest[:n])
+			events, _ := s.Feed(rest[:n])
 			for _, e := range events {
 				out = append(out, e.Bytes...)
 			}
 			rest = rest[n:]
 		}
 		assert.Assert(t, bytes.HasPrefix(data, out))
-		assert.Equal(t, s.Partial(), len(out) < len(data))
+		assert.Equal(t, s.HasPartialEvent(), len(out) < len(data))
 	})
 }
--- a/core/ticket/sealer.go
+++ b/core/ticket/sealer.go
@@ -9,19 +9,19 @@
 
 const macBytes = 12
 
-// Sealer creates and verifies tickets, which are authenticated but not encrypted. With an empty key it creates none and
+// Signer creates and verifies tickets, which are authenticated but not encrypted. With an empty key it creates none and
 // accepts none.
-type Sealer struct {
+type Signer struct {
 	key []byte
 }
 
 // NewSealer returns a Sealer with the given secret, which must be the same on all routers.
-func NewSealer(key []byte) *Sealer {
-	return &Sealer{key: key}
+func NewSealer(key []byte) *Signer {
+	return &Signer{key: key}
 }
 
-// Seal returns a ticket for the endpoint and its incarnation.
-func (s *Sealer) Seal(endpoint, incarnation string) string {
+// Sign returns a ticket for the endpoint and its incarnation.
+func (s *Signer) Sign(endpoint, incarnation string) string {
 	if len(s.key) == 0 {
 		return ""
 	}
@@ -29,8 +29,8 @@
 	return base64.RawURLEncoding.EncodeToString(append(s.mac(payload), payload...))
 }
 
-// Open decodes a ticket. ok is false if it was not created with the same key.
-func (s *Sealer) Open(ticket string) (endpoint, incarnation string, ok bool) {
+// Verify decodes a ticket. ok is false if it was not created with the same key.
+func (s *Signer) Verify(ticket string) (endpoint, incarnation string, ok bool) {
 	raw, err := base64.RawURLEncoding.DecodeString(ticket)
 	if err != nil || len(s.key) == 0 || len(raw) < macBytes {
 		return "", "", false
@@ -42,7 +42,7 @@
 	return strings.Cut(payload, "\x00")
 }
 
-func (s *Sealer) mac(payload string) []byte {
+func (s *Signer) mac(payload string) []byte {
 	m := hmac.New(sha256.New, s.key)
 	m.Write([]byte(payload))
 	return m.Sum(nil)[:macBytes]
--- a/core/tokens/worth.go
+++ b/core/tokens/worth.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Worth estimates the value of the cached prefix of a returning chat by the size of its prompt relative to the mean of
+// CacheValue estimates the value of the cached prefix of a returning chat by the size of its prompt relative to the mean of
 // the pool. The zero value is empty.
-type Worth struct {
+type CacheValue struct {
 	mu    sync.Mutex
 	means map[string]float64
 }
@@ -16,8 +16,8 @@
 	fullValueRatio = 1.5
 )
 
-// Of adds the prompt size of a returning chat to the mean, and returns the value of its cached prefix, from 0 to 1.
-func (w *Worth) Of(pool string, size int) float64 {
+// Observe adds the prompt size of a returning chat to the mean, and returns the value of its cached prefix, from 0 to 1.
+func (w *CacheValue) Observe(pool string, size int) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.means == nil {
--- a/core/tomldoc/document.go
+++ b/core/tomldoc/document.go
@@ -16,7 +16,7 @@
 	root     map[string]any
 	lines    map[string]int
 	readKeys map[string]bool
-	faults   Faults
+	faults   Errors
 }
 
 // Parse parses TOML text; file is used in error messages only. The error is a Faults with the position of the syntax
@@ -24,11 +24,11 @@
 func Parse(file string, data []byte) (doc *Document, err error) {
 	doc = &Document{file: file, lines: map[string]int{}, readKeys: map[string]bool{}}
 	if !utf8.Valid(data) {
-		return nil, Faults{{File: file, Line: invalidUTF8Line(data), Found: "a byte that is not UTF-8", Allowed: "UTF-8 text"}}
+		return nil, Errors{{File: file, Line: invalidUTF8Line(data), Got: "a byte that is not UTF-8", Want: "UTF-8 text"}}
 	}
 	err = toml.Unmarshal(data, &doc.root)
 	if err != nil {
-		return nil, Faults{syntaxFault(file, err)}
+		return nil, Errors{syntaxFault(file, err)}
 	}
 	doc.lines = keyLines(data)
 	return doc, nil
@@ -46,8 +46,8 @@
 	return 1 + strings.Count(string(data[:valid]), "\n")
 }
 
-func syntaxFault(file string, err error) (f Fault) {
-	f = Fault{File: file, Line: 1, Found: err.Error(), Allowed: "valid TOML"}
+func syntaxFault(file string, err error) (f Error) {
+	f = Error{File: file, Line: 1, Got: err.Error(), Want: "valid TOML"}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
 		f.Line, _ = decode.Position()
@@ -64,7 +64,7 @@
 // Err returns all errors found so far and one for each key that was never read, or nil if there are none. Call it after
 // all keys were read.
 func (d *Document) Err() error {
-	faults := append(Faults{}, d.faults...)
+	faults := append(Errors{}, d.faults...)
 	for path := range d.lines {
 		if !d.readKeys[path] {
 			faults = append(faults, d.unknownKey(path))
@@ -82,8 +82,8 @@
 	return faults
 }
 
-func (d *Document) unknownKey(path string) Fault {
-	return Fault{File: d.file, Line: d.lines[path], Key: path, Found: "an unknown key", Allowed: d.allowedKeys(path)}
+func (d *Document) unknownKey(path string) Error {
+	return Error{File: d.file, Line: d.lines[path], Key: path, Got: "an unknown key", Want: d.allowedKeys(path)}
 }
 
 // allowedKeys lists the keys that were read from the same table, so that the message for a misspelled key shows the
@@ -105,7 +105,7 @@
 }
 
 func (d *Document) addFault(path, found, allowed string) {
-	d.faults = append(d.faults, Fault{File: d.file, Line: d.lineOf(path), Key: path, Found: found, Allowed: allowed})
+	d.faults = append(d.faults, Error{File: d.file, Line: d.lineOf(path), Key: path, Got: found, Want: allowed})
 }
 
 // lineOf returns the line of the key. For a missing key it returns the line of the innermost enclosing table that has
@@ -120,28 +120,28 @@
 	return 1
 }
 
-// Fault is one error in a document: its position, what was found and what is allowed.
-type Fault struct {
-	File    string
-	Line    int
-	Key     string
-	Found   string
-	Allowed string
+// AddError is one error in a document: its position, what was found and what is allowed.
+type Error struct {
+	File string
+	Line int
+	Key  string
+	Got  string
+	Want string
 }
 
 // Error formats the fault as file:line, which editors can jump to.
-func (f Fault) Error() string {
+func (f Error) Error() string {
 	if f.Key == "" {
-		return fmt.Sprintf("%s:%d: found %s; allowed: %s", f.File, f.Line, f.Found, f.Allowed)
+		return fmt.Sprintf("%s:%d: found %s; allowed: %s", f.File, f.Line, f.Got, f.Want)
 	}
-	return fmt.Sprintf("%s:%d: %s: found %s; allowed: %s", f.File, f.Line, f.Key, f.Found, f.Allowed)
+	return fmt.Sprintf("%s:%d: %s: found %s; allowed: %s", f.File, f.Line, f.Key, f.Got, f.Want)
 }
 
-// Faults lists all errors of a document, sorted by line.
-type Faults []Fault
+// Errors lists all errors of a document, sorted by line.
+type Errors []Error
 
 // Error returns all faults, one per line.
-func (fs Faults) Error() string {
+func (fs Errors) Error() string {
 	lines := make([]string, 0, len(fs))
 	for _, f := range fs {
 		lines = append(lines, f.Error())
--- a/core/tomldoc/table.go
+++ b/core/tomldoc/table.go
@@ -25,8 +25,8 @@
 	return ok
 }
 
-// Fault records that the value of the key is invalid.
-func (t *Table) Fault(key, found, allowed string) {
+// AddError records that the value of the key is invalid.
+func (t *Table) AddError(key, found, allowed string) {
 	t.doc.addFault(joinPath(t.path, key), found, allowed)
 }
 
@@ -37,7 +37,7 @@
 }
 
 func (t *Table) addInvalid(key string, v any, allowed string) {
-	t.Fault(key, describe(v), allowed)
+	t.AddError(key, describe(v), allowed)
 }
 
 // describe formats a value with its TOML type.
@@ -59,8 +59,8 @@
 	return fmt.Sprintf("%v", v)
 }
 
-// Text returns a string.
-func (t *Table) Text(key, fallback string) string {
+// String returns a string.
+func (t *Table) String(key, fallback string) string {
 	v, ok := t.value(key)
 	if !ok {
 		return fallback
@@ -73,27 +73,27 @@
 	return s
 }
 
-// Required returns a string that must be present and not empty.
-func (t *Table) Required(key string) string {
-	s := t.Text(key, "")
+// RequiredString returns a string that must be present and not empty.
+func (t *Table) RequiredString(key string) string {
+	s := t.String(key, "")
 	if s == "" && (!t.Has(key) || t.values[key] == "") {
-		t.Fault(key, "nothing", "a string that is not empty")
+		t.AddError(key, "nothing", "a string that is not empty")
 	}
 	return s
 }
 
 // Choice returns a string that must be one of the allowed ones.
 func (t *Table) Choice(key, fallback string, allowed ...string) string {
-	s := t.Text(key, fallback)
+	s := t.String(key, fallback)
 	if !slices.Contains(allowed, s) {
-		t.Fault(key, fmt.Sprintf("%q", s), "one of "+strings.Join(allowed, ", "))
+		t.AddError(key, fmt.Sprintf("%q", s), "one of "+strings.Join(allowed, ", "))
 		return fallback
 	}
 	return s
 }
 
-// Number returns an integer between lowest and highest.
-func (t *Table) Number(key string, fallback, lowest, highest int64) int64 {
+// Int returns an integer between lowest and highest.
+func (t *Table) Int(key string, fallback, lowest, highest int64) int64 {
 	v, ok := t.value(key)
 	if !ok {
 		return fallback
@@ -106,8 +106,8 @@
 	return n
 }
 
-// Real returns a number between lowest and highest. An integer is accepted too.
-func (t *Table) Real(key string, fallback, lowest, highest float64) float64 {
+// Float returns a number between lowest and highest. An integer is accepted too.
+func (t *Table) Float(key string, fallback, lowest, highest float64) float64 {
 	v, ok := t.value(key)
 	if !ok {
 		return fallback
@@ -123,8 +123,8 @@
 	return f
 }
 
-// Flag returns a boolean.
-func (t *Table) Flag(key string, fallback bool) bool {
+// Bool returns a boolean.
+func (t *Table) Bool(key string, fallback bool) bool {
 	v, ok := t.value(key)
 	if !ok {
 		return fallback
@@ -152,8 +152,8 @@
 	return d
 }
 
-// Texts returns an array of strings.
-func (t *Table) Texts(key string) (texts []string) {
+// Strings returns an array of strings.
+func (t *Table) Strings(key string) (texts []string) {
 	v, ok := t.value(key)
 	if !ok {
 		return nil
--- a/core/version/version.go
+++ b/core/version/version.go
@@ -12,9 +12,9 @@
 
 // Read parses a version from its table.
 func Read(t *tomldoc.Table) (v Version) {
-	v.model = t.Required("model")
-	v.name = t.Required("name")
-	v.replicas = t.Real("replicas", 0, 0, 100000)
+	v.model = t.RequiredString("model")
+	v.name = t.RequiredString("name")
+	v.replicas = t.Float("replicas", 0, 0, 100000)
 	return v
 }
 
--- a/io/caller/chathandler.go
+++ b/io/caller/chathandler.go
@@ -17,7 +17,7 @@
 	"savoryfall/io/endpoint"
 )
 
-func (f *Front) completions(w http.ResponseWriter, r *http.Request) {
+func (f *Server) completions(w http.ResponseWriter, r *http.Request) {
 	x := f.newExchange(w, r)
 	defer x.end()
 	c, p := x.readChat()
@@ -64,7 +64,7 @@
 	if cookie, err := x.r.Cookie(ticketCookie); err == nil && sealed == "" {
 		sealed = cookie.Value
 	}
-	name, incarnation, ok := x.front.Tickets.Open(sealed)
+	name, incarnation, ok := x.front.Tickets.Verify(sealed)
 	if !ok || x.front.Health.Incarnation(name) != incarnation {
 		return ""
 	}
@@ -74,7 +74,7 @@
 const ticketCookie = "savoryfallTicket"
 
 func (x *exchange) setTicket(endpointName string) {
-	sealed := x.front.Tickets.Seal(endpointName, x.front.Health.Incarnation(endpointName))
+	sealed := x.front.Tickets.Sign(endpointName, x.front.Health.Incarnation(endpointName))
 	if sealed == "" {
 		return
 	}
@@ -100,7 +100,7 @@
 	a.Ms = time.Since(start).Milliseconds()
 	a.Outcome = outcome.Ran
 	if p != nil {
-		a.Outcome, a.Problem, a.Unreached = p.outcome, p.message, p.unreached
+		a.Outcome, a.Problem, a.NotConnected = p.outcome, p.message, p.unreached
 	}
 }
 
@@ -135,7 +135,7 @@
 func (x *exchange) mayRetry(pool string, excluded int, p *problem) bool {
 	tries, reached := len(x.decision.Attempts), 0
 	for _, at := range x.decision.Attempts {
-		if !at.Unreached {
+		if !at.NotConnected {
 			reached++
 		}
 	}
--- a/io/caller/completion.go
+++ b/io/caller/completion.go
@@ -20,7 +20,7 @@
 	"savoryfall/core/header"
 	"savoryfall/core/ledger"
 	"savoryfall/core/outcome"
-	"savoryfall/core/spills"
+	"savoryfall/core/overflow"
 	"savoryfall/io/endpoint"
 )
 
@@ -57,7 +57,7 @@
 	a := &completion{x: x, chat: c, pool: pool, class: x.account.Name() + "/" + c.Model()}
 	a.key = c.Key(x.account.Name(), x.r.Header.Get(header.Chat))
 	if c.Returning() {
-		a.cacheValue = x.front.Worth.Of(pool, len(c.Body()))
+		a.cacheValue = x.front.CacheValue.Observe(pool, len(c.Body()))
 	}
 	x.decision.Key = fmt.Sprintf("%016x", a.key)
 	return a
@@ -66,7 +66,7 @@
 // run tries engines until the response is complete or the request has to be given up. A completion may be repeated,
 // because it has no side effects.
 func (a *completion) run() {
-	a.x.front.Retries.First(a.pool)
+	a.x.front.Retries.RecordFirst(a.pool)
 	warm := a.warmEndpoint()
 	for {
 		p := a.attempt(warm)
@@ -95,7 +95,7 @@
 	if !ok {
 		return ""
 	}
-	return f.Ledger.ByHash(func(hash uint64) bool { return spills.Names(spilled, hash) })
+	return f.Ledger.FindByHash(func(hash uint64) bool { return overflow.Matches(spilled, hash) })
 }
 
 // announceSpill tells the other routers which endpoint has the chat in its cache, unless they would choose it anyway,
@@ -103,7 +103,7 @@
 func (a *completion) announceSpill(c ledger.Choice, warm string) {
 	f := a.x.front
 	_, announced := f.Spills.Find(a.key)
-	if c.First && !announced {
+	if c.HighestRanked && !announced {
 		return
 	}
 	if c.Endpoint != warm || !a.chat.Returning() {
@@ -128,7 +128,7 @@
 	f := a.x.front
 	expected := f.Tokens.Remaining(a.class, a.generatedTokens)
 	at, choice, ok := a.x.place(ledger.Query{
-		Pool: a.pool, Key: a.key, Warm: warm, Returning: a.chat.Returning(), Worth: a.cacheValue, Tokens: expected,
+		Pool: a.pool, Key: a.key, WarmEndpoint: warm, Returning: a.chat.Returning(), CacheValue: a.cacheValue, Tokens: expected,
 		Exclude: a.excluded,
 	})
 	if !ok {
@@ -138,7 +138,7 @@
 	a.excluded = append(a.excluded, at.Endpoint)
 	a.announceSpill(choice, warm)
 	f.requestMetrics.attempts.Inc()
-	flight := f.Ledger.Send(at.Endpoint, expected)
+	flight := f.Ledger.StartRequest(at.Endpoint, expected)
 	defer flight.End()
 	start := time.Now()
 	p = a.send(at, flight)
@@ -159,7 +159,7 @@
 	return outcome.NotRun
 }
 
-func (a *completion) send(at *decision.Attempt, flight *ledger.Flight) (p *problem) {
+func (a *completion) send(at *decision.Attempt, flight *ledger.InFlight) (p *problem) {
 	x, f := a.x, a.x.front
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
@@ -203,7 +203,7 @@
 	e, _ := a.x.config.Endpoint(at.Endpoint)
 	body := a.chat.Body()
 	if a.content.Len() > 0 {
-		body, err = a.chat.Resumed(a.content.String())
+		body, err = a.chat.ResumeBody(a.content.String())
 		a.x.front.requestMetrics.resumed.Inc()
 	}
 	h := http.Header{}
@@ -211,12 +211,12 @@
 	h.Set(header.Priority, fmt.Sprint(priorityOf(a.generatedTokens)))
 	return endpoint.Call{
 		Endpoint: e.Name(), Address: e.Address(), Method: http.MethodPost, Path: completionsPath, Header: h,
-		Body: bytes.NewReader(body), Length: int64(len(body)), Request: a.x.requestID, Attempt: at.ID, Echoes: e.Echoes(),
+		Body: bytes.NewReader(body), Length: int64(len(body)), Request: a.x.requestID, Attempt: at.ID, Echoes: e.EchoesAttemptID(),
 	}, err
 }
 
 // read passes on the engine's response, and returns an error if it is incomplete.
-func (a *completion) read(resp *http.Response, at *decision.Attempt, flight *ledger.Flight, silence *time.Timer) (err error) {
+func (a *completion) read(resp *http.Response, at *decision.Attempt, flight *ledger.InFlight, silence *time.Timer) (err error) {
 	a.x.countPrompt(resp)
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return endpoint.StatusError{Status: resp.StatusCode}
@@ -279,7 +279,7 @@
 }
 
 // readStream passes events on as they arrive. The response is complete only if the stream ends with the end marker.
-func (a *completion) readStream(resp *http.Response, at *decision.Attempt, flight *ledger.Flight, silence *time.Timer) (err error) {
+func (a *completion) readStream(resp *http.Response, at *decision.Attempt, flight *ledger.InFlight, silence *time.Timer) (err error) {
 	controller := http.NewResponseController(a.x.w)
 	streamID := ""
 	for ev, err := range sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
@@ -336,10 +336,10 @@
 }
 
 // updateExpectedTokens updates the load that the rest of the response is expected to put on the endpoint.
-func (a *completion) updateExpectedTokens(flight *ledger.Flight) {
+func (a *completion) updateExpectedTokens(flight *ledger.InFlight) {
 	generatedTokens := a.content.Len() / bytesPerToken
 	if generatedTokens/estimateInterval != a.generatedTokens/estimateInterval {
-		flight.Expect(a.x.front.Tokens.Remaining(a.class, generatedTokens))
+		flight.SetExpectedTokens(a.x.front.Tokens.Remaining(a.class, generatedTokens))
 	}
 	a.generatedTokens = generatedTokens
 }
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -15,16 +15,16 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"savoryfall/core/account"
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/decision"
 	"savoryfall/core/header"
-	"savoryfall/core/inforce"
 	"savoryfall/core/outcome"
 	"savoryfall/io/tracing"
 )
 
 // exchange is one client request, from its arrival to the last byte of its response.
 type exchange struct {
-	front          *Front
+	front          *Server
 	w              http.ResponseWriter
 	r              *http.Request
 	ctx            context.Context
@@ -32,7 +32,7 @@
 	span           trace.Span
 	requestID      string
 	startedAt      time.Time
-	config         *inforce.Configuration
+	config         *activeconfig.Configuration
 	account        account.Account
 	body           *requestBody
 	decision       *decision.Decision
@@ -40,14 +40,14 @@
 	abort          bool
 }
 
-func (f *Front) newExchange(w http.ResponseWriter, r *http.Request) (x *exchange) {
+func (f *Server) newExchange(w http.ResponseWriter, r *http.Request) (x *exchange) {
 	x = &exchange{front: f, w: w, r: r, requestID: uuid.NewString(), startedAt: time.Now(), config: f.Configuration.Current()}
 	ctx := tracing.Propagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, x.span = f.Tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(attribute.String("request", x.requestID), attribute.String("path", r.URL.Path)))
 	x.ctx, x.cancel = context.WithTimeout(ctx, f.timeout(r))
 	x.decision = &decision.Decision{Request: x.requestID, At: x.startedAt}
-	x.body = newRequestBody(w, r, f.Callers.MaxBody(), f.Callers.BodyTimeout())
+	x.body = newRequestBody(w, r, f.Callers.MaxBodyBytes(), f.Callers.BodyTimeout())
 	w.Header().Set(header.Request, x.requestID)
 	return x
 }
@@ -58,12 +58,12 @@
 	x.body.end()
 	d, f := x.decision, x.front
 	elapsed := time.Since(x.startedAt)
-	x.span.SetAttributes(attribute.Int("status", d.Status), attribute.String("outcome", string(d.Told)))
+	x.span.SetAttributes(attribute.Int("status", d.Status), attribute.String("outcome", string(d.Outcome)))
 	x.span.End()
 	f.Decisions.Add(d)
-	f.requestMetrics.observe(d.Status, d.Told, elapsed)
+	f.requestMetrics.observe(d.Status, d.Outcome, elapsed)
 	_ = f.Logger.Log("event", "request", "request", x.requestID, "account", d.Account, "pool", d.Pool,
-		"endpoint", lastEndpoint(d), "attempts", len(d.Attempts), "status", d.Status, "outcome", d.Told,
+		"endpoint", lastEndpoint(d), "attempts", len(d.Attempts), "status", d.Status, "outcome", d.Outcome,
 		"firstMs", x.firstByteAfter.Milliseconds(), "ms", elapsed.Milliseconds(), "problem", d.Problem)
 	if x.abort {
 		panic(http.ErrAbortHandler)
@@ -87,7 +87,7 @@
 
 // reported records what was reported to the client.
 func (x *exchange) reported(status int, reported outcome.Outcome, problem string) {
-	x.decision.Status, x.decision.Told, x.decision.Problem = status, reported, problem
+	x.decision.Status, x.decision.Outcome, x.decision.Problem = status, reported, problem
 }
 
 // authenticate finds the client account by the digest of its bearer key.
@@ -99,7 +99,7 @@
 	if !found {
 		return invalidKey()
 	}
-	a, known := x.config.Account(account.Digest(key))
+	a, known := x.config.AccountByKeyDigest(account.DigestKey(key))
 	if !known {
 		return invalidKey()
 	}
@@ -134,7 +134,7 @@
 	ctx, span := x.front.Tracer.Start(x.ctx, "admission")
 	defer span.End()
 	start := time.Now()
-	release, err := x.front.Admission.Enter(ctx, x.account.Name(), x.account.Weight(), pool)
+	release, err := x.front.Admission.Acquire(ctx, x.account.Name(), x.account.Weight(), pool)
 	x.decision.WaitedMs = time.Since(start).Milliseconds()
 	if err == nil {
 		return release, nil
@@ -159,7 +159,7 @@
 // statusClientClosedRequest is never sent to a client; it appears only in the log.
 const statusClientClosedRequest = 499
 
-func (f *Front) models(w http.ResponseWriter, r *http.Request) {
+func (f *Server) models(w http.ResponseWriter, r *http.Request) {
 	x := f.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
--- a/io/caller/front.go
+++ b/io/caller/front.go
@@ -11,15 +11,15 @@
 	"github.com/gorilla/mux"
 	"go.opentelemetry.io/otel/trace"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/claim"
 	"savoryfall/core/decision"
 	"savoryfall/core/health"
-	"savoryfall/core/inforce"
 	"savoryfall/core/ledger"
+	"savoryfall/core/overflow"
 	"savoryfall/core/placement"
-	"savoryfall/core/retry"
+	"savoryfall/core/retrybudget"
 	"savoryfall/core/settings"
-	"savoryfall/core/spills"
 	"savoryfall/core/ticket"
 	"savoryfall/core/tokens"
 	"savoryfall/io/endpoint"
@@ -27,7 +27,7 @@
 
 // Configuration provides the configuration in force.
 type Configuration interface {
-	Current() *inforce.Configuration
+	Current() *activeconfig.Configuration
 	Ready() bool
 }
 
@@ -38,7 +38,7 @@
 
 // Admission queues requests until they are admitted.
 type Admission interface {
-	Enter(ctx context.Context, account string, weight float64, pool string) (leave func(), err error)
+	Acquire(ctx context.Context, account string, weight float64, pool string) (leave func(), err error)
 }
 
 // Claims ensures that a request that must not be repeated runs at most once.
@@ -47,8 +47,8 @@
 	Settle(ctx context.Context, g claim.Grant, result claim.Result)
 }
 
-// Parts are the dependencies and settings of a Front.
-type Parts struct {
+// Config are the dependencies and settings of a Front.
+type Config struct {
 	Configuration Configuration
 	Endpoints     Endpoints
 	Admission     Admission
@@ -56,12 +56,12 @@
 	Ledger        *ledger.Ledger
 	Health        *health.Table
 	Policy        placement.Policy
-	Tickets       *ticket.Sealer
-	Spills        *spills.Table
+	Tickets       *ticket.Signer
+	Spills        *overflow.Table
 	Tokens        *tokens.Estimator
-	Worth         *tokens.Worth
-	Retries       *retry.Budget
-	Decisions     *decision.Ring
+	CacheValue    *tokens.CacheValue
+	Retries       *retrybudget.Budget
+	Decisions     *decision.Log
 	Tracer        trace.Tracer
 	Metrics       *metrics.Set
 	Logger        log.Logger
@@ -69,20 +69,20 @@
 	Limits        settings.Limits
 }
 
-// Front serves the requests of clients.
-type Front struct {
-	Parts
+// Server serves the requests of clients.
+type Server struct {
+	Config
 	draining       atomic.Bool
 	requestMetrics requestMetrics
 }
 
 // New returns a front that uses the given parts.
-func New(p Parts) *Front {
-	return &Front{Parts: p, requestMetrics: newRequestMetrics(p.Metrics)}
+func New(p Config) *Server {
+	return &Server{Config: p, requestMetrics: newRequestMetrics(p.Metrics)}
 }
 
 // Handler returns the HTTP handler; requests that match no route go to the plain services.
-func (f *Front) Handler() http.Handler {
+func (f *Server) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.SkipClean(true)
 	m.HandleFunc("/v1/chat/completions", f.completions).Methods(http.MethodPost)
@@ -95,31 +95,31 @@
 
 // Drain makes the readiness check fail, so that the load balancer sends no more clients. Requests that still arrive
 // are served, and their clients are asked to close their connections.
-func (f *Front) Drain() { f.draining.Store(true) }
+func (f *Server) Drain() { f.draining.Store(true) }
 
 // Draining reports whether this router is stopping.
-func (f *Front) Draining() bool { return f.draining.Load() }
+func (f *Server) Draining() bool { return f.draining.Load() }
 
 // setConnectionClose asks the client to close its connection if this router is stopping. Otherwise the router would
 // close the connection, possibly while the client's next request is on its way.
-func (f *Front) setConnectionClose(h http.Header) {
+func (f *Server) setConnectionClose(h http.Header) {
 	if f.Draining() {
 		h.Set("Connection", "close")
 	}
 }
 
 // discardBody prepares a response that doesn't need the request body.
-func (f *Front) discardBody(w http.ResponseWriter, r *http.Request) {
+func (f *Server) discardBody(w http.ResponseWriter, r *http.Request) {
 	f.setConnectionClose(w.Header())
-	newRequestBody(w, r, f.Callers.MaxBody(), f.Callers.BodyTimeout()).end()
+	newRequestBody(w, r, f.Callers.MaxBodyBytes(), f.Callers.BodyTimeout()).end()
 }
 
-func (f *Front) healthz(w http.ResponseWriter, r *http.Request) {
+func (f *Server) healthz(w http.ResponseWriter, r *http.Request) {
 	f.discardBody(w, r)
 	w.WriteHeader(http.StatusOK)
 }
 
-func (f *Front) readyz(w http.ResponseWriter, r *http.Request) {
+func (f *Server) readyz(w http.ResponseWriter, r *http.Request) {
 	f.discardBody(w, r)
 	switch {
 	case f.Draining():
@@ -132,7 +132,7 @@
 }
 
 // timeout returns the timeout that the client has requested, limited by the setting.
-func (f *Front) timeout(r *http.Request) time.Duration {
+func (f *Server) timeout(r *http.Request) time.Duration {
 	requested, err := time.ParseDuration(r.Header.Get(headerDeadline) + "ms")
 	if err != nil || requested <= 0 || requested > f.Limits.Deadline() {
 		return f.Limits.Deadline()
--- a/io/caller/plainservice.go
+++ b/io/caller/plainservice.go
@@ -41,14 +41,14 @@
 }
 
 // plain handles a request to a plain service.
-func (f *Front) plain(w http.ResponseWriter, r *http.Request) {
+func (f *Server) plain(w http.ResponseWriter, r *http.Request) {
 	x := f.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
 		x.fail(p)
 		return
 	}
-	s, known := x.config.Service(r.URL.Path)
+	s, known := x.config.ServiceForPath(r.URL.Path)
 	if !known {
 		x.fail(unknownPath(r.URL.Path))
 		return
@@ -71,7 +71,7 @@
 // prepare reads as much of the body as needed before the first attempt: all of it for a claim, otherwise what is
 // buffered for retries.
 func (c *plainCall) prepare() (p *problem) {
-	if !c.repeatable && c.x.r.Header.Get(header.Idempotency) != "" {
+	if !c.repeatable && c.x.r.Header.Get(header.IdempotencyKey) != "" {
 		c.buffered, p = c.x.readBody()
 		c.contentLength = int64(len(c.buffered))
 		return p
@@ -90,7 +90,7 @@
 }
 
 func (c *plainCall) run() {
-	if !c.repeatable && c.x.r.Header.Get(header.Idempotency) != "" {
+	if !c.repeatable && c.x.r.Header.Get(header.IdempotencyKey) != "" {
 		c.runClaimed()
 		return
 	}
@@ -104,7 +104,7 @@
 // request is sent again.
 func (c *plainCall) attemptWithRetries(handle func(*http.Response) *problem) (p *problem) {
 	f := c.x.front
-	f.Retries.First(c.pool)
+	f.Retries.RecordFirst(c.pool)
 	for {
 		p = c.attempt(handle)
 		if p == nil || !c.mayRetry(p) {
@@ -128,7 +128,7 @@
 	}
 	c.excluded = append(c.excluded, at.Endpoint)
 	f.requestMetrics.attempts.Inc()
-	flight := f.Ledger.Send(at.Endpoint, 1)
+	flight := f.Ledger.StartRequest(at.Endpoint, 1)
 	defer flight.End()
 	start := time.Now()
 	p = c.send(at, handle)
@@ -168,7 +168,7 @@
 	}
 	return endpoint.Call{
 		Endpoint: e.Name(), Address: e.Address(), Method: r.Method, Path: r.URL.EscapedPath(), Query: r.URL.RawQuery,
-		Header: h, Body: body, Length: c.contentLength, Request: c.x.requestID, Attempt: at.ID, Echoes: e.Echoes(),
+		Header: h, Body: body, Length: c.contentLength, Request: c.x.requestID, Attempt: at.ID, Echoes: e.EchoesAttemptID(),
 		NotRepeatable: !c.repeatable,
 	}
 }
@@ -244,7 +244,7 @@
 	created, _ := time.Parse(time.RFC3339, x.r.Header.Get(header.KeyCreated))
 	ctx, span := x.front.Tracer.Start(x.ctx, "claim")
 	g, err := x.front.Claims.Claim(ctx, claim.Request{
-		Account: x.account.Name(), Key: x.r.Header.Get(header.Idempotency), Digest: hex.EncodeToString(sum[:digestBytes]),
+		Account: x.account.Name(), Key: x.r.Header.Get(header.IdempotencyKey), Digest: hex.EncodeToString(sum[:digestBytes]),
 		Attempt: x.requestID, Created: created,
 	})
 	span.End()
@@ -268,7 +268,7 @@
 		return unavailable("the claim could not be made: "+err.Error(), outcome.NotRun)
 	}
 	return &problem{
-		status: refused.Status, kind: kindInvalid, code: "claim_refused", param: header.Idempotency,
+		status: refused.Status, kind: kindInvalid, code: "claim_refused", param: header.IdempotencyKey,
 		message: refused.Reason, outcome: refused.Outcome, retryAfter: refused.RetryAfter,
 	}
 }
--- a/io/claims/partition.go
+++ b/io/claims/partition.go
@@ -42,7 +42,7 @@
 	claimTerm       time.Duration
 	mu              sync.Mutex
 	readMu          sync.Mutex
-	table           *claim.Book
+	table           *claim.Table
 	changed         chan struct{}
 	healthy         bool
 	initialReadDone bool
@@ -125,7 +125,7 @@
 	}
 	from := time.Now()
 	if len(page.Records) > 0 {
-		from = page.Records[0].At
+		from = page.Records[0].Time
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range page.Records {
-		p.table.Apply(r.Offset, r.At, r.Data)
+		p.table.Apply(r.Offset, r.Time, r.Data)
 	}
 	p.healthy = p.table.Next() >= page.Next
 	p.notifyProgress()
@@ -162,7 +162,7 @@
 	close(p.changed)
 	p.changed = make(chan struct{})
 	for attempt, c := range p.abandoned {
-		s, _ := p.table.Stand(c.Account, c.Key, attempt, c.Digest)
+		s, _ := p.table.OwnershipOf(c.Account, c.Key, attempt, c.Digest)
 		if s != claim.Owner {
 			continue
 		}
@@ -239,8 +239,8 @@
 func (p *partition) needsRead(c claim.Request) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s, _ := p.table.Stand(c.Account, c.Key, c.Attempt, c.Digest)
-	return !p.healthy || s == claim.Open
+	s, _ := p.table.OwnershipOf(c.Account, c.Key, c.Attempt, c.Digest)
+	return !p.healthy || s == claim.Pending
 }
 
 // decided answers from the records read so far, and refuses at once what cannot be guaranteed now.
@@ -248,8 +248,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastUsed = time.Now()
-	s, result := p.table.Stand(c.Account, c.Key, c.Attempt, c.Digest)
-	if s != claim.Free {
+	s, result := p.table.OwnershipOf(c.Account, c.Key, c.Attempt, c.Digest)
+	if s != claim.Unclaimed {
 		g, err = resolve(s, result, claim.Grant{Claim: c, Expires: time.Now().Add(p.claimTerm)})
 		return g, true, err
 	}
@@ -268,7 +268,7 @@
 			Reason: fmt.Sprintf("the key is older than %v, for which calls are remembered", p.table.Window()),
 		}
 	}
-	if p.table.Covers(now) || c.Created.After(p.table.From()) {
+	if p.table.CompleteAt(now) || c.Created.After(p.table.CompleteSince()) {
 		return nil
 	}
 	return unavailable("the log has lost claims within the window; only keys created since are taken")
@@ -282,10 +282,10 @@
 	c := g.Claim
 	for {
 		p.mu.Lock()
-		s, result := p.table.Stand(c.Account, c.Key, c.Attempt, c.Digest)
+		s, result := p.table.OwnershipOf(c.Account, c.Key, c.Attempt, c.Digest)
 		applied := offset != unknownOffset && p.table.Next() > offset
 		p.mu.Unlock()
-		if s != claim.Free || applied {
+		if s != claim.Unclaimed || applied {
 			return resolve(s, result, g)
 		}
 		err = p.readThrough(ctx, offset)
@@ -323,7 +323,7 @@
 	}
 }
 
-func resolve(s claim.Standing, result claim.Record, g claim.Grant) (granted claim.Grant, err error) {
+func resolve(s claim.Ownership, result claim.Record, g claim.Grant) (granted claim.Grant, err error) {
 	switch s {
 	case claim.Owner:
 		return g, nil
--- a/io/claims/partitions.go
+++ b/io/claims/partitions.go
@@ -16,8 +16,8 @@
 
 // Members determines which router is responsible for a partition.
 type Members interface {
-	Duty(duty string) (name string)
-	Mine(duty string, n int) bool
+	Assignee(duty string) (name string)
+	Assigned(duty string, n int) bool
 }
 
 // Peers sends a claim to the router responsible for its partition.
@@ -59,8 +59,8 @@
 	}
 }
 
-// Use sets the members and the connection to them; it must be called before Start.
-func (p *Partitions) Use(m Members, peers Peers) { p.members, p.peers = m, peers }
+// SetPeers sets the members and the connection to them; it must be called before Start.
+func (p *Partitions) SetPeers(m Members, peers Peers) { p.members, p.peers = m, peers }
 
 // Start keeps the partitions assigned to this router loaded until Stop.
 func (p *Partitions) Start(context.Context) error {
@@ -87,7 +87,7 @@
 // are assigned to others.
 func (p *Partitions) updatePartitions() {
 	for n := range p.partitionCount {
-		if p.members.Mine(dutyName(n), 1) {
+		if p.members.Assigned(dutyName(n), 1) {
 			p.partition(n)
 			continue
 		}
@@ -136,21 +136,21 @@
 func (p *Partitions) Claim(ctx context.Context, c claim.Request) (g claim.Grant, err error) {
 	start := time.Now()
 	n := PartitionOf(c.Account, c.Key, p.partitionCount)
-	owner := p.members.Duty(dutyName(n))
+	owner := p.members.Assignee(dutyName(n))
 	if owner != p.self {
 		g, err = p.peers.Claim(ctx, owner, c)
 	}
 	var refused *claim.RefusedError
 	if owner == p.self || err != nil && !errors.As(err, &refused) {
-		g, err = p.ClaimHere(ctx, c)
+		g, err = p.ClaimLocally(ctx, c)
 	}
 	g.Claim = c
 	g.Expires = start.Add(p.claimTerm)
 	return g, err
 }
 
-// ClaimHere makes a claim on this router, whichever router is responsible for the partition.
-func (p *Partitions) ClaimHere(ctx context.Context, c claim.Request) (g claim.Grant, err error) {
+// ClaimLocally makes a claim on this router, whichever router is responsible for the partition.
+func (p *Partitions) ClaimLocally(ctx context.Context, c claim.Request) (g claim.Grant, err error) {
 	part := p.partition(PartitionOf(c.Account, c.Key, p.partitionCount))
 	readCtx, cancel := context.WithTimeout(ctx, initialReadTimeout)
 	defer cancel()
@@ -160,20 +160,20 @@
 
 // Settle records the outcome of a claimed request on the log.
 func (p *Partitions) Settle(ctx context.Context, g claim.Grant, result claim.Result) {
-	owner := p.members.Duty(dutyName(PartitionOf(g.Claim.Account, g.Claim.Key, p.partitionCount)))
+	owner := p.members.Assignee(dutyName(PartitionOf(g.Claim.Account, g.Claim.Key, p.partitionCount)))
 	if owner != p.self && p.peers.Settle(ctx, owner, g, result) == nil {
 		return
 	}
-	p.SettleHere(ctx, g, result)
+	p.SettleLocally(ctx, g, result)
 }
 
-// SettleHere records the outcome on the log from this router.
-func (p *Partitions) SettleHere(ctx context.Context, g claim.Grant, result claim.Result) {
+// SettleLocally records the outcome on the log from this router.
+func (p *Partitions) SettleLocally(ctx context.Context, g claim.Grant, result claim.Result) {
 	p.partition(PartitionOf(g.Claim.Account, g.Claim.Key, p.partitionCount)).settle(ctx, g, result)
 }
 
-// Len returns the number of keys that this router remembers.
-func (p *Partitions) Len() (n int) {
+// KeyCount returns the number of keys that this router remembers.
+func (p *Partitions) KeyCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, part := range p.partitions {
--- a/io/clientconn/closereason.go
+++ b/io/clientconn/closereason.go
@@ -27,8 +27,8 @@
 	Stopped       CloseReason = "stop"
 )
 
-// Endings returns all close reasons.
-func Endings() []CloseReason {
+// CloseReasons returns all close reasons.
+func CloseReasons() []CloseReason {
 	return []CloseReason{ClientClosed, ConnectionReset, KeepAliveFailed, WriteTimeout, IdleTimeout, HeaderTimeout, Stopped}
 }
 
--- a/io/clientconn/set.go
+++ b/io/clientconn/set.go
@@ -14,8 +14,8 @@
 // Limits are timeouts for clients. 0 is no limit.
 type Limits struct {
 	// Idle is how long a connection may be without a request, Header how long the header of a request may take.
-	Idle   time.Duration
-	Header time.Duration
+	Idle          time.Duration
+	HeaderTimeout time.Duration
 }
 
 // Set tracks the connections of one listener, and is a net.Listener for an http.Server. Use New to create one.
@@ -28,7 +28,7 @@
 	lastIdle      time.Duration
 	previousIdle  time.Duration
 	idleChangedAt time.Time
-	closedBy      map[CloseReason]uint64
+	closeCounts   map[CloseReason]uint64
 	closeOnce     sync.Once
 	closeErr      error
 }
@@ -48,7 +48,7 @@
 
 // New creates a set for the connections of the listener. limits returns the limits in force.
 func New(l net.Listener, limits func() Limits) *Set {
-	return &Set{listener: l, limits: limits, conns: map[*Conn]struct{}{}, closedBy: map[CloseReason]uint64{}}
+	return &Set{listener: l, limits: limits, conns: map[*Conn]struct{}{}, closeCounts: map[CloseReason]uint64{}}
 }
 
 // Accept waits for the next connection.
@@ -131,7 +131,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, c)
-		s.closedBy[c.CloseReason()]++
+		s.closeCounts[c.CloseReason()]++
 	}
 }
 
@@ -153,7 +153,7 @@
 
 // Sweep closes connections that have been idle, or have been sending a header, for longer than allowed.
 func (s *Set) Sweep(now time.Time) {
-	idle, header := s.idleLimit(now), s.limits().Header
+	idle, header := s.idleLimit(now), s.limits().HeaderTimeout
 	for _, c := range s.all() {
 		if idle > 0 {
 			c.closeIf(IdleTimeout, func() bool { return now.Sub(c.stateSince) > max(idle, c.limit)+idleSlack })
@@ -215,9 +215,9 @@
 	return n
 }
 
-// Ended returns how many connections were closed for the reason.
-func (s *Set) Ended(e CloseReason) uint64 {
+// ClosedBy returns how many connections were closed for the reason.
+func (s *Set) ClosedBy(e CloseReason) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closedBy[e]
+	return s.closeCounts[e]
 }
--- a/io/clientconn/set_test.go
+++ b/io/clientconn/set_test.go
@@ -64,7 +64,7 @@
 // connection: after a pause, the header may have been read and not parsed yet.
 func TestLateHeaderNeedsTwoChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c, _ := newPipeConn(t, &Limits{Header: 3 * time.Second})
+		s, c, _ := newPipeConn(t, &Limits{HeaderTimeout: 3 * time.Second})
 		_, _ = c.recordRead(1, nil)
 		time.Sleep(10 * time.Second)
 		sweepAndWait(s)
@@ -202,8 +202,8 @@
 		time.Sleep(3 * time.Second)
 		sweepAndWait(s)
 		s.onStateChange(c, http.StateClosed)
-		assert.Equal(t, s.Ended(IdleTimeout), uint64(1))
-		assert.Equal(t, s.Ended(ClientClosed), uint64(0))
+		assert.Equal(t, s.ClosedBy(IdleTimeout), uint64(1))
+		assert.Equal(t, s.ClosedBy(ClientClosed), uint64(0))
 		assert.Equal(t, s.Counts(), Counts{})
 	})
 }
--- a/io/command/bench_test.go
+++ b/io/command/bench_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/platform/standin/client"
-	"savoryfall/platform/standin/server"
+	"savoryfall/platform/standin/fakeendpoint"
+	"savoryfall/platform/standin/testclient"
 )
 
 // BenchmarkStream sends short streaming requests through a complete router on loopback, with 63 engines registered and 8
@@ -17,16 +17,16 @@
 func BenchmarkStream(b *testing.B) {
 	f := newEntryFleet(b, 1)
 	for i := range 60 {
-		f.addServer(fmt.Sprint("more", i), server.Options{Service: "models", Slots: 128, Events: 5, Step: time.Millisecond})
+		f.addServer(fmt.Sprint("more", i), fakeendpoint.Options{Service: "models", Slots: 128, Events: 5, EventTime: time.Millisecond})
 	}
 	vm := f.vms[0]
-	f.waitFor("all endpoints are registered", func() bool { return vm.dispatcher.InDomain("a") == 67 })
+	f.waitFor("all endpoints are registered", func() bool { return vm.dispatcher.CountInDomain("a") == 67 })
 	b.SetParallelism(8)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			n := requestCount.Add(1)
-			a := client.Ask(vm.clientServer.Address(), client.Request{
+			a := testclient.Send(vm.clientServer.Address(), testclient.Request{
 				Method: "POST", Host: "shop.example", Path: "/draft/x", ID: fmt.Sprint("b", n), Key: "good",
 			})
 			assert.Equal(b, a.Status, 200)
--- a/io/command/demo.go
+++ b/io/command/demo.go
@@ -46,7 +46,7 @@
 	}
 	f := fleet.New(fleet.Options{
 		Routers: demoRouters, Engines: demoEngines, Services: demoServices, Accounts: []string{demoAccount},
-		Extra: map[string]string{"callers": "lameDuck = \"0s\"\n"},
+		ExtraSettings: map[string]string{"callers": "lameDuck = \"0s\"\n"},
 	}, logger)
 	err = f.Start(ctx)
 	if err != nil {
@@ -61,8 +61,8 @@
 
 func printDemo(s streams, f *fleet.Fleet) {
 	r := f.Routers()[0]
-	fmt.Fprintf(s.out, "callers    http://%s/v1\noperators  http://%s\nkey        %s\n\n", r.Callers(), r.Operators(), fleet.Key(demoAccount))
+	fmt.Fprintf(s.out, "callers    http://%s/v1\noperators  http://%s\nkey        %s\n\n", r.CallerAddress(), r.OperatorAddress(), fleet.APIKey(demoAccount))
 	fmt.Fprintf(s.out, "curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"sur-large\","+
-		"\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"What is the firewood quota?\"}]}'\n\n", r.Callers(), fleet.Key(demoAccount))
+		"\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"What is the firewood quota?\"}]}'\n\n", r.CallerAddress(), fleet.APIKey(demoAccount))
 	fmt.Fprintln(s.out, "press Ctrl-C to stop")
 }
--- a/io/command/demoplatform.go
+++ b/io/command/demoplatform.go
@@ -11,14 +11,14 @@
 
 	"savoryfall/core/annotate"
 	"savoryfall/core/settings"
-	"savoryfall/io/stdout"
-	"savoryfall/platform/standin/server"
-	"savoryfall/platform/standin/store"
+	"savoryfall/io/logwriter"
+	"savoryfall/platform/standin/fakeendpoint"
+	"savoryfall/platform/standin/fakestore"
 )
 
 // platformDemo runs a small fleet of entry VMs in this process, with stand-ins for the platform's store and the endpoints.
 type platformDemo struct {
-	store store.Service
+	store fakestore.Service
 	// address is the store's address.
 	address     string
 	httpServers []*http.Server
@@ -46,7 +46,7 @@
 	address := d.vms[0].clientServer.Address()
 	fmt.Fprintf(s.out, "clients    http://%s\nstore      http://%s\nkey        demo\n\n", address, d.address)
 	fmt.Fprintf(s.out, "curl -sN -X POST http://%s/draft/plan -H 'Host: demo.example' -H 'Authorization: Bearer demo' "+
-		"%s\n\npress Ctrl-C to stop\n", address, server.CurlHeaders)
+		"%s\n\npress Ctrl-C to stop\n", address, fakeendpoint.CurlHeaders)
 	<-ctx.Done()
 	return nil
 }
@@ -59,13 +59,13 @@
 	}
 	d.store.Put("keyed.op", "config", []byte(demoConfiguration))
 	for i := range demoEngines {
-		err = d.addServer(server.Options{ID: fmt.Sprint("engine", i), Service: "models", Slots: 32, Events: 40, Step: 30 * time.Millisecond})
+		err = d.addServer(fakeendpoint.Options{ID: fmt.Sprint("engine", i), Service: "models", Slots: 32, Events: 40, EventTime: 30 * time.Millisecond})
 		if err != nil {
 			return err
 		}
 	}
 	for i := range demoServices {
-		err = d.addServer(server.Options{ID: fmt.Sprint("plain", i), Service: "plain", Slots: 6, Work: 15 * time.Millisecond})
+		err = d.addServer(fakeendpoint.Options{ID: fmt.Sprint("plain", i), Service: "plain", Slots: 6, ResponseTime: 15 * time.Millisecond})
 		if err != nil {
 			return err
 		}
@@ -96,14 +96,14 @@
 	return l.Addr().String(), nil
 }
 
-func (d *platformDemo) addServer(o server.Options) (err error) {
-	var s *server.Server
-	o.Zone = "demo"
+func (d *platformDemo) addServer(o fakeendpoint.Options) (err error) {
+	var s *fakeendpoint.Endpoint
+	o.FailureDomain = "demo"
 	o.Address, err = d.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.ServeHTTP(w, r) }))
 	if err != nil {
 		return err
 	}
-	s = server.New(o)
+	s = fakeendpoint.New(o)
 	d.store.Put("keyed.servers", o.ID, s.Entry())
 	return nil
 }
@@ -129,7 +129,7 @@
 	if quiet {
 		out = io.Discard
 	}
-	vm, err := newEntryVM(cfg, stdout.New(out))
+	vm, err := newEntryVM(cfg, logwriter.New(out))
 	if err != nil {
 		return err
 	}
--- a/io/command/entry.go
+++ b/io/command/entry.go
@@ -10,7 +10,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"savoryfall/core/settings"
-	"savoryfall/io/stdout"
+	"savoryfall/io/logwriter"
 )
 
 func init() { register(entryCommand) }
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	logger := stdout.New(s.out)
+	logger := logwriter.New(s.out)
 	vm, err := newEntryVM(cfg, logger)
 	if err != nil {
 		return err
--- a/io/command/entryvm.go
+++ b/io/command/entryvm.go
@@ -19,54 +19,54 @@
 	"go.opentelemetry.io/otel/trace/noop"
 
 	"savoryfall/core/annotate"
-	"savoryfall/core/coldshare"
+	"savoryfall/core/coldlimit"
 	"savoryfall/core/directory"
 	"savoryfall/core/dispatch"
 	"savoryfall/core/event"
 	"savoryfall/core/field"
 	"savoryfall/core/freshness"
-	"savoryfall/core/kernel"
+	"savoryfall/core/lifecycle"
 	"savoryfall/core/members"
-	"savoryfall/core/retryshare"
+	"savoryfall/core/retrylimit"
 	"savoryfall/core/routetable"
 	"savoryfall/core/settings"
 	"savoryfall/io/bootclock"
 	"savoryfall/io/clientconn"
-	"savoryfall/io/desired"
 	"savoryfall/io/draining"
 	"savoryfall/io/entry"
 	"savoryfall/io/follow"
 	"savoryfall/io/http1"
 	"savoryfall/io/httpserver"
 	"savoryfall/io/hub"
-	"savoryfall/io/meter"
+	"savoryfall/io/logwriter"
 	"savoryfall/io/registry"
-	"savoryfall/io/stdout"
+	"savoryfall/io/storeconfig"
 	"savoryfall/io/tracing"
-	"savoryfall/platform/backend"
+	"savoryfall/io/traffic"
+	"savoryfall/platform/clientapi"
 	wiredesired "savoryfall/platform/desired"
+	"savoryfall/platform/endpointapi"
 	"savoryfall/platform/evacuation"
-	"savoryfall/platform/front"
 	wireregistry "savoryfall/platform/registry"
 	"savoryfall/platform/store"
 )
 
 // entryVM runs the services of a router on an entry VM. All state that routers share comes from the platform's store.
 type entryVM struct {
-	kernel       kernel.Kernel
+	kernel       lifecycle.Manager
 	settings     *settings.Entry
 	logger       log.Logger
 	stopGrace    time.Duration
 	lease        freshness.Lease
-	retries      retryshare.Share
-	limits       atomic.Pointer[retryshare.Limits]
+	retries      retrylimit.Limiter
+	limits       atomic.Pointer[retrylimit.Limits]
 	dispatcher   *dispatch.Dispatcher
-	desired      *desired.Keeper
+	desired      *storeconfig.Tracker
 	hub          *hub.Agent
-	drainTracker *draining.Keeper
+	drainTracker *draining.Tracker
 	// routers is the number of routers in the fleet, as far as known.
 	routers      atomic.Int64
-	front        *entry.Front
+	front        *entry.Handler
 	clientServer *entry.Server
 	metricSet    *metrics.Set
 }
@@ -98,7 +98,7 @@
 	settingsPollInterval = time.Second
 )
 
-func newEntryVM(cfg *settings.Entry, logger *stdout.Log) (vm *entryVM, err error) {
+func newEntryVM(cfg *settings.Entry, logger *logwriter.Logger) (vm *entryVM, err error) {
 	defer annotate.Error(&err, "build entry VM %s", cfg.VM().Name())
 	vm = &entryVM{
 		settings: cfg, logger: log.With(logger, field.Time, log.DefaultTimestampUTC, field.VM, cfg.VM().Name()),
@@ -119,11 +119,11 @@
 
 // applySettings applies the settings that may change at run time.
 func (vm *entryVM) applySettings(cfg *settings.Entry) {
-	vm.stopGrace = cfg.Grace()
-	vm.lease.SetTerm(cfg.KeyTerm() - keyTermMargin)
-	vm.dispatcher.SetColdBound(coldshare.Bound{Overrun: cfg.Cold().Overrun(), Slack: cfg.Cold().Slack()})
-	vm.dispatcher.SetDrainTerm(cfg.DrainedWithin() / 2)
-	vm.limits.Store(&retryshare.Limits{
+	vm.stopGrace = cfg.ShutdownGrace()
+	vm.lease.SetTerm(cfg.WithdrawnKeyTTL() - keyTermMargin)
+	vm.dispatcher.SetColdBound(coldlimit.Bound{RateFactor: cfg.Cold().Overrun(), Slack: cfg.Cold().Slack()})
+	vm.dispatcher.SetDrainFetchTerm(cfg.DrainedWithin() / 2)
+	vm.limits.Store(&retrylimit.Limits{
 		Ratio: cfg.Retries().Ratio(), Slack: cfg.Retries().Slack(), Window: cfg.Retries().Window(),
 	})
 	vm.updateRetryLimits()
@@ -133,7 +133,7 @@
 // of cold endpoints among themselves.
 func (vm *entryVM) counted(routers []uint64) {
 	vm.routers.Store(int64(len(routers)))
-	vm.dispatcher.SetFleet(coldshare.New(members.Hash(vm.settings.VM().Name()), routers))
+	vm.dispatcher.SetFleet(coldlimit.New(members.Hash(vm.settings.VM().Name()), routers))
 	vm.updateRetryLimits()
 }
 
@@ -144,39 +144,39 @@
 }
 
 func (vm *entryVM) buildStore() (err error) {
-	counted := meter.New(vm.metricSet)
-	storeClient := store.New(vm.settings.Store(), &http.Client{Transport: counted.Calls(meter.KindLog, storeTransport(counted))})
-	vm.desired = desired.New(wiredesired.Decoder{}, &vm.lease, vm.onConfiguration, vm.logger)
+	counted := traffic.New(vm.metricSet)
+	storeClient := store.New(vm.settings.StoreAddress(), &http.Client{Transport: counted.CountCalls(traffic.KindLog, storeTransport(counted))})
+	vm.desired = storeconfig.New(wiredesired.Decoder{}, &vm.lease, vm.onConfiguration, vm.logger)
 	staleAfter := time.Duration(staleFraction * float64(vm.settings.ChangesWithin()))
 	vm.drainTracker = draining.New(evacuation.Decoder{}, vm.dispatcher, vm.logger)
 	configurationFollower := follow.New(storeClient.Topic(wiredesired.Topic), follow.Sinks{vm.drainTracker, vm.desired}, follow.Options{
-		Name: "configuration", Wait: configurationPollWait, Pause: configurationMinInterval, Grace: hubGrace, Stale: staleAfter, First: startupWait,
+		Name: "configuration", PollWait: configurationPollWait, MinInterval: configurationMinInterval, Grace: hubGrace, MaxAge: staleAfter, StartupWait: startupWait,
 		Clock: bootclock.Now,
 	}, vm.logger)
 	vm.kernel.Register("configuration", configurationFollower)
 	endpointRegistry := registry.New(wireregistry.Decoder{}, vm.listed, vm.logger)
 	listed := follow.New(storeClient.Topic(wireregistry.Topic), endpointRegistry, follow.Options{
-		Name: "registry", Pause: registryMinInterval, Stale: staleAfter, First: startupWait, Clock: bootclock.Now,
+		Name: "registry", MinInterval: registryMinInterval, MaxAge: staleAfter, StartupWait: startupWait, Clock: bootclock.Now,
 	}, vm.logger)
 	vm.kernel.Register("registry", listed)
 	vm.metricSet.NewGauge("savoryfall_registry_age_seconds", func() float64 {
-		_, confirmedAt, known := listed.Known()
+		_, confirmedAt, known := listed.Position()
 		if !known {
 			return -1
 		}
 		return (bootclock.Now() - confirmedAt).Seconds()
 	})
-	vm.hub, err = hub.New(hub.Parts{
+	vm.hub, err = hub.New(hub.Config{
 		Self: members.Member{
-			Name: vm.settings.VM().Name(), Address: vm.settings.Announced(), FailureDomain: vm.settings.VM().FailureDomain(),
+			Name: vm.settings.VM().Name(), Address: vm.settings.AdvertisedAddress(), FailureDomain: vm.settings.VM().FailureDomain(),
 			Started: time.Now().UnixMilli(),
-			Bears:   members.VM{Cores: vm.settings.Cores(), MemoryMB: vm.settings.MemoryMB(), LinkMbps: vm.settings.LinkMbps()}.Bears(),
+			Bears:   members.VM{Cores: vm.settings.Cores(), MemoryMB: vm.settings.MemoryMB(), LinkMbps: vm.settings.LinkMbps()}.FollowerCapacity(),
 		},
-		Address: vm.settings.Peers(),
-		Members: &members.List{}, Configuration: configurationFollower, Record: vm.desired.Record,
-		Beside: vm.drainTracker.Records, Registry: listed, Endpoints: endpointRegistry,
-		Loads: vm.dispatcher, Listing: hub.NewListing(storeClient.Topic(store.MembersTopic)), Bootstrap: vm.settings.Bootstrap(), Meter: counted,
-		Logger: vm.logger, Clock: bootclock.Now, Stale: staleAfter, Counted: vm.counted,
+		ListenAddress: vm.settings.PeerAddress(),
+		Members:       &members.List{}, Configuration: configurationFollower, CurrentRecord: vm.desired.Record,
+		OtherRecords: vm.drainTracker.Records, Registry: listed, Endpoints: endpointRegistry,
+		Loads: vm.dispatcher, RouterList: hub.NewRouterList(storeClient.Topic(store.RoutersTopic)), Bootstrap: vm.settings.Bootstrap(), Meter: counted,
+		Logger: vm.logger, Clock: bootclock.Now, StaleAfter: staleAfter, OnRoutersChanged: vm.counted,
 	})
 	if err != nil {
 		return err
@@ -186,7 +186,7 @@
 }
 
 // storeTransport returns a transport that detects dead connections by TCP keepalive and counts the bytes.
-func storeTransport(m *meter.Meter) *http.Transport {
+func storeTransport(m *traffic.Meter) *http.Transport {
 	d := &net.Dialer{Timeout: storeDialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: time.Second, Interval: time.Second, Count: 2,
 	}}
@@ -195,7 +195,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return m.Conn(meter.KindLog, c), nil
+		return m.CountBytes(traffic.KindLog, c), nil
 	}
 	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, DisableCompression: true}
 }
@@ -211,12 +211,12 @@
 	if err != nil {
 		return err
 	}
-	vm.front = entry.New(entry.Parts{
-		Clients: front.Front{}, Endpoints: backend.Backend{}, Configuration: vm.desired, Lease: &vm.lease,
+	vm.front = entry.New(entry.Config{
+		ClientProtocol: clientapi.Codec{}, EndpointProtocol: endpointapi.Codec{}, Configuration: vm.desired, Lease: &vm.lease,
 		Dispatcher: vm.dispatcher, Retries: &vm.retries, Pool: &http1.Pool{}, Tracer: tracer,
-		Figures: entry.NewFigures(vm.metricSet), Logger: vm.logger, Clock: bootclock.Now,
+		Metrics: entry.NewMetrics(vm.metricSet), Logger: vm.logger, Clock: bootclock.Now,
 	})
-	vm.clientServer, err = entry.NewServer(vm.settings.Clients(), vm.front)
+	vm.clientServer, err = entry.NewServer(vm.settings.ClientAddress(), vm.front)
 	if err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 const metricsServerName = "metrics"
 
 // readinessPath is the load balancer's health check: whether this router accepts new clients.
-const readinessPath = front.ReadyPath
+const readinessPath = clientapi.ReadinessPath
 
 func (vm *entryVM) buildOperatorServers() (err error) {
 	readinessHandler := mux.NewRouter()
@@ -251,7 +251,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	err = vm.addServer("readiness", vm.settings.Readiness(), readinessHandler)
+	err = vm.addServer("readiness", vm.settings.ReadinessAddress(), readinessHandler)
 	if err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 		// Only the operating system's process metrics: collecting the Go runtime's would pause the process.
 		metrics.WriteProcMetrics(w)
 	})
-	return vm.addServer(metricsServerName, vm.settings.Metrics(), metricsHandler)
+	return vm.addServer(metricsServerName, vm.settings.MetricsAddress(), metricsHandler)
 }
 
 // registerGauges registers the metrics that are computed when they are read.
@@ -281,8 +281,8 @@
 	vm.metricSet.NewGauge("savoryfall_cores", func() float64 { return float64(runtime.GOMAXPROCS(0)) })
 	vm.metricSet.NewGauge("savoryfall_routers", func() float64 { return float64(vm.routers.Load()) })
 	vm.registerDispatchGauges()
-	vm.metricSet.NewGauge("savoryfall_open_requests", func() float64 { return float64(vm.front.Open()) })
-	vm.metricSet.NewGauge("savoryfall_connections_made", func() float64 { return float64(vm.front.Pool.Dials()) })
+	vm.metricSet.NewGauge("savoryfall_open_requests", func() float64 { return float64(vm.front.ActiveRequests()) })
+	vm.metricSet.NewGauge("savoryfall_connections_made", func() float64 { return float64(vm.front.Pool.ConnectionsOpened()) })
 	for state, count := range map[string]func(c clientconn.Counts) int{
 		"idle": clientconn.Counts.Idle, "reading": clientconn.Counts.Reading, "serving": clientconn.Counts.Serving,
 	} {
@@ -290,26 +290,26 @@
 			return float64(count(vm.clientServer.Connections().Counts()))
 		})
 	}
-	for _, ending := range clientconn.Endings() {
+	for _, ending := range clientconn.CloseReasons() {
 		vm.metricSet.NewGauge(fmt.Sprintf("savoryfall_client_connections_ended_total{by=%q}", ending), func() float64 {
-			return float64(vm.clientServer.Connections().Ended(ending))
+			return float64(vm.clientServer.Connections().ClosedBy(ending))
 		})
 	}
 }
 
 // registerDispatchGauges registers metrics of cache reuse and load balance, and of the endpoint data they are based on.
 func (vm *entryVM) registerDispatchGauges() {
-	for name, value := range map[string]func(m dispatch.Measures) float64{
-		"savoryfall_prompt_tokens_total":      func(m dispatch.Measures) float64 { return float64(m.Prompt) },
-		"savoryfall_warm_prompt_tokens_total": func(m dispatch.Measures) float64 { return float64(m.Warm) },
-		"savoryfall_busiest_over_mean":        func(m dispatch.Measures) float64 { return m.Busiest },
-		"savoryfall_endpoints":                func(m dispatch.Measures) float64 { return float64(m.Endpoints) },
-		"savoryfall_endpoints_failing":        func(m dispatch.Measures) float64 { return float64(m.Failing) },
-		"savoryfall_endpoints_silent":         func(m dispatch.Measures) float64 { return float64(m.Silent) },
-		"savoryfall_full_for_seconds":         func(m dispatch.Measures) float64 { return m.FullFor.Seconds() },
-		"savoryfall_load_view_age_seconds":    func(m dispatch.Measures) float64 { return m.ViewAge.Seconds() },
+	for name, value := range map[string]func(m dispatch.Metrics) float64{
+		"savoryfall_prompt_tokens_total":      func(m dispatch.Metrics) float64 { return float64(m.PromptTokens) },
+		"savoryfall_warm_prompt_tokens_total": func(m dispatch.Metrics) float64 { return float64(m.CachedTokens) },
+		"savoryfall_busiest_over_mean":        func(m dispatch.Metrics) float64 { return m.MaxOverMean },
+		"savoryfall_endpoints":                func(m dispatch.Metrics) float64 { return float64(m.Endpoints) },
+		"savoryfall_endpoints_failing":        func(m dispatch.Metrics) float64 { return float64(m.Failing) },
+		"savoryfall_endpoints_silent":         func(m dispatch.Metrics) float64 { return float64(m.Silent) },
+		"savoryfall_full_for_seconds":         func(m dispatch.Metrics) float64 { return m.FullFor.Seconds() },
+		"savoryfall_load_view_age_seconds":    func(m dispatch.Metrics) float64 { return m.LoadReportAge.Seconds() },
 	} {
-		vm.metricSet.NewGauge(name, func() float64 { return value(vm.dispatcher.Measure(time.Now())) })
+		vm.metricSet.NewGauge(name, func() float64 { return value(vm.dispatcher.CurrentMetrics(time.Now())) })
 	}
 }
 
@@ -320,11 +320,11 @@
 	if t == nil {
 		return
 	}
-	for _, name := range t.Services() {
+	for _, name := range t.ServiceNames() {
 		now := time.Now()
 		taken, places := vm.dispatcher.Occupancy(name, now)
 		for metric, value := range map[string]float64{
-			"savoryfall_retries_left": vm.retries.Left(name, now),
+			"savoryfall_retries_left": vm.retries.Remaining(name, now),
 			"savoryfall_places":       float64(places), "savoryfall_places_taken": float64(taken),
 		} {
 			metrics.WriteGaugeFloat64(w, fmt.Sprintf("%s{service=%q}", metric, name), value)
@@ -338,7 +338,7 @@
 }
 
 func (vm *entryVM) addServer(name, address string, h http.Handler) (err error) {
-	s, err := httpserver.New(address, h, httpserver.Options{StopWithin: auxiliaryStopTimeout})
+	s, err := httpserver.New(address, h, httpserver.Options{StopTimeout: auxiliaryStopTimeout})
 	if err != nil {
 		return err
 	}
@@ -349,7 +349,7 @@
 func (vm *entryVM) start(ctx context.Context) (err error) {
 	err = vm.kernel.Start(ctx)
 	if err == nil {
-		_ = vm.logger.Log(field.Event, event.Started, field.Clients, vm.clientServer.Address(), field.Store, vm.settings.Store())
+		_ = vm.logger.Log(field.Event, event.Started, field.Clients, vm.clientServer.Address(), field.Store, vm.settings.StoreAddress())
 	}
 	return err
 }
@@ -384,14 +384,14 @@
 		return
 	}
 	vm.applySettings(cfg)
-	_ = vm.logger.Log(field.Event, event.SettingsReloaded, field.KeyTerm, cfg.KeyTerm(), field.Grace, cfg.Grace())
+	_ = vm.logger.Log(field.Event, event.SettingsReloaded, field.KeyTerm, cfg.WithdrawnKeyTTL(), field.Grace, cfg.ShutdownGrace())
 }
 
 func (vm *entryVM) stop() (err error) {
-	_ = vm.logger.Log(field.Event, event.Stopping, field.Open, vm.front.Open())
+	_ = vm.logger.Log(field.Event, event.Stopping, field.Open, vm.front.ActiveRequests())
 	vm.clientServer.Drain(vm.stopGrace)
 	remaining := vm.clientServer.Connections().Counts()
-	_ = vm.logger.Log(field.Event, event.Stopped, field.Open, vm.front.Open(),
+	_ = vm.logger.Log(field.Event, event.Stopped, field.Open, vm.front.ActiveRequests(),
 		field.Reading, remaining.Reading(), field.Serving, remaining.Serving())
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/io/command/entryvm_test.go
+++ b/io/command/entryvm_test.go
@@ -21,32 +21,32 @@
 	"gotest.tools/v3/poll"
 
 	"savoryfall/core/settings"
-	"savoryfall/io/stdout"
-	"savoryfall/platform/standin/client"
-	"savoryfall/platform/standin/server"
-	"savoryfall/platform/standin/store"
+	"savoryfall/io/logwriter"
+	"savoryfall/platform/standin/fakeendpoint"
+	"savoryfall/platform/standin/fakestore"
+	"savoryfall/platform/standin/testclient"
 )
 
 // entryFleet runs entry VMs, endpoint servers and a store in one process, on loopback.
 type entryFleet struct {
 	t            testing.TB
-	store        store.Service
+	store        fakestore.Service
 	storeAddress string
-	servers      map[string]*server.Server
+	servers      map[string]*fakeendpoint.Endpoint
 	vms          []*entryVM
 }
 
 func newEntryFleet(t testing.TB, vms int) *entryFleet {
-	f := &entryFleet{t: t, servers: map[string]*server.Server{}}
+	f := &entryFleet{t: t, servers: map[string]*fakeendpoint.Endpoint{}}
 	h := httptest.NewServer(&f.store)
 	t.Cleanup(h.Close)
 	f.storeAddress = strings.TrimPrefix(h.URL, "http://")
 	f.putConfiguration(1, "good", "plain")
 	for i := range 3 {
-		f.addServer(fmt.Sprint("m", i), server.Options{Service: "models", Slots: 32, Events: 5, Step: time.Millisecond})
-		f.addServer(fmt.Sprint("p", i), server.Options{Service: "plain", Slots: 8})
+		f.addServer(fmt.Sprint("m", i), fakeendpoint.Options{Service: "models", Slots: 32, Events: 5, EventTime: time.Millisecond})
+		f.addServer(fmt.Sprint("p", i), fakeendpoint.Options{Service: "plain", Slots: 8})
 	}
-	f.addServer("q0", server.Options{Service: "other", Slots: 8})
+	f.addServer("q0", fakeendpoint.Options{Service: "other", Slots: 8})
 	for i := range vms {
 		f.start(i)
 	}
@@ -75,14 +75,14 @@
 		route("book", "non_idempotent", "plain", false), route("draft", "streaming", "models", true), key))
 }
 
-func (f *entryFleet) addServer(id string, o server.Options) {
+func (f *entryFleet) addServer(id string, o fakeendpoint.Options) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	o.ID, o.Address = id, l.Addr().String()
-	if o.Zone == "" {
-		o.Zone = "a"
+	if o.FailureDomain == "" {
+		o.FailureDomain = "a"
 	}
-	s := server.New(o)
+	s := fakeendpoint.New(o)
 	h := &http.Server{Handler: s}
 	go func() { _ = h.Serve(l) }()
 	f.t.Cleanup(func() { _ = h.Close() })
@@ -109,7 +109,7 @@
 `, i, 10-i, uniqueLoopbackAddress(), f.storeAddress)
 	cfg, err := settings.ParseEntry("vm.toml", []byte(text))
 	assert.NilError(f.t, err)
-	vm, err := newEntryVM(cfg, stdout.New(io.Discard))
+	vm, err := newEntryVM(cfg, logwriter.New(io.Discard))
 	assert.NilError(f.t, err)
 	assert.NilError(f.t, vm.start(context.Background()))
 	f.vms = append(f.vms, vm)
@@ -141,12 +141,12 @@
 
 var requestCount atomic.Int64
 
-func (f *entryFleet) get(vm *entryVM, path, key string) client.Answer {
+func (f *entryFleet) get(vm *entryVM, path, key string) testclient.Response {
 	return f.send(vm, "GET", path, key, fmt.Sprint("r", requestCount.Add(1)))
 }
 
-func (f *entryFleet) send(vm *entryVM, method, path, key, id string) client.Answer {
-	return client.Ask(vm.clientServer.Address(), client.Request{Method: method, Host: "shop.example", Path: path, ID: id, Key: key})
+func (f *entryFleet) send(vm *entryVM, method, path, key, id string) testclient.Response {
+	return testclient.Send(vm.clientServer.Address(), testclient.Request{Method: method, Host: "shop.example", Path: path, ID: id, Key: key})
 }
 
 func TestEntryFleetServesEachKind(t *testing.T) {
@@ -157,13 +157,13 @@
 		assert.Equal(t, f.send(vm, "POST", "/book/x", "good", "b"+vm.settings.VM().Name()).Status, 200)
 		stream := f.send(vm, "POST", "/draft/x", "good", "s"+vm.settings.VM().Name())
 		assert.Equal(t, strings.Count(stream.Body, "data: piece"), 5)
-		assert.Assert(t, stream.Whole)
+		assert.Assert(t, stream.Complete)
 		assert.Equal(t, f.get(vm, "/read/x", "bad").Status, 401)
 		assert.Equal(t, f.get(vm, "/none/x", "good").Status, 404)
 	}
 	booked := int64(0)
 	for _, s := range f.servers {
-		booked += s.Ran("bvm0")
+		booked += s.ExecutionsOf("bvm0")
 	}
 	assert.Equal(t, booked, int64(1))
 }
@@ -206,7 +206,7 @@
 func TestOperationsPageDocumentsMetrics(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 2)
-	f.waitFor("vm1 follows vm0 as hub", func() bool { return f.vms[1].hub.Follows() == "vm0" })
+	f.waitFor("vm1 follows vm0 as hub", func() bool { return f.vms[1].hub.HubName() == "vm0" })
 	f.send(f.vms[1], "POST", "/draft/x", "good", "m1")
 	f.get(f.vms[1], "/read/x", "bad")
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
@@ -250,18 +250,18 @@
 func TestRoutersRecoverFromLostHubAndHistory(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.waitFor("one hub", func() bool { return f.vms[1].hub.Follows() == "vm0" && f.vms[2].hub.Follows() == "vm0" })
+	f.waitFor("one hub", func() bool { return f.vms[1].hub.HubName() == "vm0" && f.vms[2].hub.HubName() == "vm0" })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = f.vms[0].kernel.Stop(ctx)
 	f.store.Put("keyed.op", "other", []byte("{}"))
-	f.store.Forget("keyed.op")
-	f.store.Forget("keyed.servers")
+	f.store.Compact("keyed.op")
+	f.store.Compact("keyed.servers")
 	f.putConfiguration(2, "new", "plain")
 	for _, vm := range f.vms[1:] {
 		f.waitFor("version 2", func() bool { return f.get(vm, "/read/x", "new").Status == 200 })
 	}
-	f.waitFor("the next hub", func() bool { return f.vms[1].hub.Follows() == "vm1" && f.vms[2].hub.Follows() == "vm1" })
+	f.waitFor("the next hub", func() bool { return f.vms[1].hub.HubName() == "vm1" && f.vms[2].hub.HubName() == "vm1" })
 }
 
 // A leaving endpoint gets no new requests, from routers that read its entry in the store or from those that hear of it
@@ -269,11 +269,11 @@
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.servers["p0"].Leave()
-	f.servers["p1"].Leave()
+	f.servers["p0"].Drain()
+	f.servers["p1"].Drain()
 	f.store.Put("keyed.servers", "p0", f.servers["p0"].Entry())
 	f.store.Put("keyed.servers", "p1", nil)
-	runs := func() int64 { return f.servers["p0"].Runs() + f.servers["p1"].Runs() }
+	runs := func() int64 { return f.servers["p0"].ExecutedCount() + f.servers["p1"].ExecutedCount() }
 	for _, vm := range f.vms {
 		f.waitFor("only p2 is used", func() bool {
 			before := runs()
@@ -289,17 +289,17 @@
 func TestDrainedDomainGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.addServer("far", server.Options{Service: "plain", Slots: 64, Zone: "b"})
+	f.addServer("far", fakeendpoint.Options{Service: "plain", Slots: 64, FailureDomain: "b"})
 	f.store.Put("keyed.op", "evacuate/nowhere", []byte("{}"))
 	f.store.Put("keyed.op", "evacuate/a", []byte("{}"))
 	f.waitFor("the drain is active and the server in domain b is known", func() bool {
 		return !slices.ContainsFunc(f.vms, func(vm *entryVM) bool {
-			return len(vm.drainTracker.Records()) < 2 || vm.dispatcher.InDomain("b") == 0
+			return len(vm.drainTracker.Records()) < 2 || vm.dispatcher.CountInDomain("b") == 0
 		})
 	})
 	runsInDrainedDomain := func() (runs int64) {
 		for _, id := range []string{"p0", "p1", "p2"} {
-			runs += f.servers[id].Runs()
+			runs += f.servers[id].ExecutedCount()
 		}
 		return runs
 	}
@@ -338,9 +338,9 @@
 func TestUnresponsiveStore(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 1)
-	f.store.SetSilent(true)
+	f.store.SetUnresponsive(true)
 	f.waitFor("the lease to serve expires", func() bool { return f.get(f.vms[0], "/read/x", "good").Status == 503 })
-	f.store.SetSilent(false)
+	f.store.SetUnresponsive(false)
 	f.waitFor("served again", func() bool { return f.get(f.vms[0], "/read/x", "good").Status == 200 })
 }
 
@@ -367,10 +367,10 @@
 func TestLostReplyToRouterRegistration(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 1)
-	f.store.Lose(1)
+	f.store.LoseResponses(1)
 	f.start(1)
 	f.waitFor("both know each other", func() bool {
-		return f.vms[0].routers.Load() == 2 && f.vms[1].routers.Load() == 2 && f.vms[1].hub.Follows() == "vm0"
+		return f.vms[0].routers.Load() == 2 && f.vms[1].routers.Load() == 2 && f.vms[1].hub.HubName() == "vm0"
 	})
 }
 
@@ -415,7 +415,7 @@
 			file := filepath.Join(t.TempDir(), "vm.toml")
 			cfg, err := settings.ParseEntry(file, f.settingsWithGrace(oldGrace))
 			assert.NilError(t, err)
-			vm, err := newEntryVM(cfg, stdout.New(io.Discard))
+			vm, err := newEntryVM(cfg, logwriter.New(io.Discard))
 			assert.NilError(t, err)
 			assert.NilError(t, vm.start(context.Background()))
 			lower(vm, file)
--- a/io/command/explain.go
+++ b/io/command/explain.go
@@ -59,5 +59,5 @@
 			i+1, a.Endpoint, a.Reason, a.Requests, a.Tokens, a.MeanTokens, a.Usable, a.Members)
 		fmt.Fprintf(s.out, "    %s after %d ms %s\n", a.Outcome, a.Ms, a.Problem)
 	}
-	fmt.Fprintf(s.out, "  answered %d %s %s\n", d.Status, d.Told, d.Problem)
+	fmt.Fprintf(s.out, "  answered %d %s %s\n", d.Status, d.Outcome, d.Problem)
 }
--- a/io/command/load.go
+++ b/io/command/load.go
@@ -13,7 +13,7 @@
 
 	"savoryfall/core/loadplan"
 	"savoryfall/core/placement"
-	"savoryfall/io/load"
+	"savoryfall/io/loadtest"
 )
 
 func init() { register(loadCommand) }
@@ -73,7 +73,7 @@
 }
 
 func runPolicy(ctx context.Context, s streams, f loadFlags, p *loadplan.Plan, policy string) (err error) {
-	run := load.New(p, policy, map[string]string{"routing": *f.routing, "limits": *f.limits})
+	run := loadtest.New(p, policy, map[string]string{"routing": *f.routing, "limits": *f.limits})
 	report, err := run.Do(ctx, log.NewNopLogger())
 	if err != nil {
 		return err
--- a/io/command/loglines_test.go
+++ b/io/command/loglines_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 
 	"savoryfall/core/settings"
-	"savoryfall/io/stdout"
+	"savoryfall/io/logwriter"
 )
 
 // syncBuffer is a buffer that can be read while a process writes its log to it.
@@ -56,7 +56,7 @@
 	file := filepath.Join(t.TempDir(), "vm.toml")
 	cfg, err := settings.ParseEntry(file, f.settingsWithGrace(time.Second))
 	assert.NilError(t, err)
-	vm, err := newEntryVM(cfg, stdout.New(logOutput))
+	vm, err := newEntryVM(cfg, logwriter.New(logOutput))
 	assert.NilError(t, err)
 	assert.NilError(t, vm.start(context.Background()))
 	f.waitFor("served", func() bool { return vm.front.Ready() && f.get(vm, "/read/x", "good").Status == 200 })
@@ -65,7 +65,7 @@
 	}
 	assert.Equal(t, f.send(vm, "GET", "/read/x", "bad", "wrong-key").Status, 401)
 	assert.Equal(t, f.send(vm, "GET", "/none/x", "good", "wrong-path").Status, 404)
-	f.servers["q0"].Leave()
+	f.servers["q0"].Drain()
 	f.store.Put("keyed.servers", "q0", nil)
 	f.store.Put("keyed.servers", "odd", []byte("["))
 	f.store.Put("keyed.op", "config", []byte("{"))
--- a/io/command/lognames_test.go
+++ b/io/command/lognames_test.go
@@ -16,7 +16,7 @@
 	"github.com/go-logfmt/logfmt"
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/logstory"
+	"savoryfall/core/loganalysis"
 	"savoryfall/io/clientconn"
 )
 
@@ -106,7 +106,7 @@
 	page, err := os.ReadFile(operationsPage)
 	assert.NilError(t, err)
 	words := values(constantsOf(t, root+"/core/ask/problem.go", "Reason"))
-	for _, ending := range clientconn.Endings() {
+	for _, ending := range clientconn.CloseReasons() {
 		words = append(words, string(ending))
 	}
 	for _, word := range words {
@@ -308,10 +308,10 @@
 
 // Each way that a connection can end is explained in words.
 func TestEveryEndingIsExplained(t *testing.T) {
-	for _, ending := range clientconn.Endings() {
-		l := &logstory.Log{}
+	for _, ending := range clientconn.CloseReasons() {
+		l := &loganalysis.Log{}
 		assert.NilError(t, l.Read(strings.NewReader("ts=2031-04-02T08:00:00Z vm=a event=requestRefused request=r ended="+string(ending))))
-		words := l.Story("r")[0].Words
+		words := l.Explain("r")[0].Explanation
 		assert.Assert(t, len(words) > 1 && !strings.Contains(words[0], "ended: "), "%s: %v", ending, words)
 	}
 }
--- a/io/command/logs.go
+++ b/io/command/logs.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"savoryfall/core/annotate"
-	"savoryfall/core/logstory"
+	"savoryfall/core/loganalysis"
 )
 
 func init() { register(logsCommand) }
@@ -40,11 +40,11 @@
 	}
 }
 
-func readLogs(files []string) (l *logstory.Log, err error) {
+func readLogs(files []string) (l *loganalysis.Log, err error) {
 	if len(files) == 0 {
 		return nil, usageError{message: "missing log file"}
 	}
-	l = &logstory.Log{}
+	l = &loganalysis.Log{}
 	for _, file := range files {
 		err = readLog(l, file)
 		if err != nil {
@@ -54,7 +54,7 @@
 	return l, nil
 }
 
-func readLog(l *logstory.Log, file string) (err error) {
+func readLog(l *loganalysis.Log, file string) (err error) {
 	defer annotate.Error(&err, "%s", file)
 	f, err := os.Open(file)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	story := l.Story(args[0])
+	story := l.Explain(args[0])
 	if len(story) == 0 {
 		return fmt.Errorf("none of %d log lines mentions request %s: it was served at the first try, or its line was dropped", l.Len(), args[0])
 	}
@@ -86,9 +86,9 @@
 }
 
 // printLine prints the log line verbatim, followed by its explanation.
-func printLine(s streams, line logstory.Line) (err error) {
+func printLine(s streams, line loganalysis.Line) (err error) {
 	_, err = fmt.Fprintln(s.out, line.Text)
-	for _, sentence := range line.Words {
+	for _, sentence := range line.Explanation {
 		if err == nil {
 			_, err = fmt.Fprintln(s.out, "  "+sentence)
 		}
@@ -112,7 +112,7 @@
 	return plotReport(plotFile, buckets, causes)
 }
 
-func printReport(s streams, buckets []logstory.Bucket, causes []logstory.Cause) (err error) {
+func printReport(s streams, buckets []loganalysis.Bucket, causes []loganalysis.Cause) (err error) {
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "from\t")
 	for _, c := range causes {
@@ -120,9 +120,9 @@
 	}
 	fmt.Fprintln(w)
 	for _, b := range buckets {
-		fmt.Fprint(w, b.From.Format("15:04:05.000"), "\t")
+		fmt.Fprint(w, b.Start.Format("15:04:05.000"), "\t")
 		for _, c := range causes {
-			fmt.Fprint(w, strconv.Itoa(b.Count[c]), "\t")
+			fmt.Fprint(w, strconv.Itoa(b.Counts[c]), "\t")
 		}
 		fmt.Fprintln(w)
 	}
@@ -135,7 +135,7 @@
 	plotHeight = 4 * vg.Inch
 )
 
-func plotReport(file string, buckets []logstory.Bucket, causes []logstory.Cause) (err error) {
+func plotReport(file string, buckets []loganalysis.Bucket, causes []loganalysis.Cause) (err error) {
 	defer annotate.Error(&err, "plot %s", file)
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "requests not served"
@@ -143,7 +143,7 @@
 	for _, c := range causes {
 		points := make(plotter.XYs, len(buckets))
 		for i, b := range buckets {
-			points[i] = plotter.XY{X: b.From.Sub(buckets[0].From).Seconds(), Y: float64(b.Count[c])}
+			points[i] = plotter.XY{X: b.Start.Sub(buckets[0].Start).Seconds(), Y: float64(b.Counts[c])}
 		}
 		lines = append(lines, string(c), points)
 	}
--- a/io/command/release.go
+++ b/io/command/release.go
@@ -12,8 +12,8 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"savoryfall/core/inforce"
-	"savoryfall/core/note"
+	"savoryfall/core/activeconfig"
+	"savoryfall/core/releasenote"
 	"savoryfall/io/configuration"
 	"savoryfall/io/operator"
 	"savoryfall/io/platformlog"
@@ -65,7 +65,7 @@
 	return parent
 }
 
-func readNote(args []string) (n *note.Note, err error) {
+func readNote(args []string) (n *releasenote.Note, err error) {
 	file, err := singleFile(args)
 	if err != nil {
 		return nil, err
@@ -74,17 +74,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return note.Parse(file, data)
+	return releasenote.Parse(file, data)
 }
 
-func (f releaseFlags) logClient() (l *platformlog.Log, err error) {
+func (f releaseFlags) logClient() (l *platformlog.Client, err error) {
 	if *f.log == "" {
 		return nil, usageError{message: "missing --log"}
 	}
 	return platformlog.New(*f.log, &http.Client{Timeout: platformTimeout}), nil
 }
 
-func (f releaseFlags) activeConfiguration(ctx context.Context) (c *inforce.Configuration, err error) {
+func (f releaseFlags) activeConfiguration(ctx context.Context) (c *activeconfig.Configuration, err error) {
 	l, err := f.logClient()
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 			return rejectedError{id: n.ID(), reason: refusal}
 		}
 	}
-	_, err = fmt.Fprintf(s.out, "%s: valid, %d items\n", args[0], len(n.Touched()))
+	_, err = fmt.Fprintf(s.out, "%s: valid, %d items\n", args[0], len(n.Items()))
 	return err
 }
 
@@ -146,14 +146,14 @@
 	return nil
 }
 
-func differences(c *inforce.Configuration, n *note.Note) (list []difference) {
+func differences(c *activeconfig.Configuration, n *releasenote.Note) (list []difference) {
 	current := map[string]map[string]any{}
 	for _, i := range c.Items() {
 		current[i.Key()] = i.Values()
 	}
 	for _, part := range []struct {
 		verb  string
-		items []note.Item
+		items []releasenote.Item
 	}{{"added", n.Added()}, {"changed", n.Changed()}, {"withdrawn", n.Withdrawn()}} {
 		for _, i := range part.items {
 			list = append(list, difference{Verb: part.verb, Item: i.Key(), Before: current[i.Key()], After: i.Values()})
@@ -207,7 +207,7 @@
 	}
 	start := time.Now()
 	for range publishAttempts {
-		_, err = l.Append(ctx, configuration.Stream, inforce.NoteRecord(n.Text()))
+		_, err = l.Append(ctx, configuration.Stream, activeconfig.NoteRecord(n.Text()))
 		if err == nil {
 			break
 		}
@@ -223,12 +223,12 @@
 	if refusal, known := c.Refusal(n.ID()); !known || refusal != "" {
 		return rejectedError{id: n.ID(), reason: refusal}
 	}
-	fmt.Fprintf(s.out, "note %q is accepted at offset %d, digest %s\n", n.ID(), c.Next()-1, c.Digest())
+	fmt.Fprintf(s.out, "note %q is accepted at offset %d, digest %s\n", n.ID(), c.NextOffset()-1, c.Digest())
 	return f.waitUntilApplied(ctx, s, c, start)
 }
 
 // waitUntilApplied polls the status of each router until all have applied the note.
-func (f releaseFlags) waitUntilApplied(ctx context.Context, s streams, c *inforce.Configuration, start time.Time) (err error) {
+func (f releaseFlags) waitUntilApplied(ctx context.Context, s streams, c *activeconfig.Configuration, start time.Time) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, *f.wait)
 	defer cancel()
 	for _, url := range f.routerURLs() {
@@ -261,11 +261,11 @@
 
 const statusPollInterval = 100 * time.Millisecond
 
-func waitForRouter(ctx context.Context, s streams, url string, c *inforce.Configuration, start time.Time) (err error) {
+func waitForRouter(ctx context.Context, s streams, url string, c *activeconfig.Configuration, start time.Time) (err error) {
 	for {
 		var status operator.Status
 		err = getJSON(ctx, url+"/status", &status)
-		if err == nil && status.Release.Next >= c.Next() {
+		if err == nil && status.Release.Next >= c.NextOffset() {
 			delay := max(status.Release.AppliedAt.Sub(start), 0)
 			_, err = fmt.Fprintf(s.out, "%s: active after %.2f s, from the %s\n", status.VM, delay.Seconds(), status.Release.Source)
 			return err
--- a/io/command/router.go
+++ b/io/command/router.go
@@ -81,7 +81,7 @@
 // stopRouter drains the router; a second signal, or the drain timeout of the settings, ends the wait.
 func stopRouter(r *router.Router, cfg *settings.Settings) (err error) {
 	defer annotate.Error(&err, "stop router")
-	ctx, cancel := context.WithTimeout(context.Background(), cfg.Limits().Drain()+cfg.Callers().LameDuck())
+	ctx, cancel := context.WithTimeout(context.Background(), cfg.Limits().DrainTimeout()+cfg.Callers().LameDuck())
 	defer cancel()
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/io/configuration/follower.go
+++ b/io/configuration/follower.go
@@ -10,8 +10,8 @@
 	"github.com/cenkalti/backoff/v5"
 	"github.com/go-kit/log"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/annotate"
-	"savoryfall/core/inforce"
 	"savoryfall/io/platformlog"
 )
 
@@ -34,7 +34,7 @@
 
 // Peers fetches a snapshot of the configuration from another router when the log is unavailable.
 type Peers interface {
-	Snapshot(ctx context.Context) (c *inforce.Configuration, err error)
+	Snapshot(ctx context.Context) (c *activeconfig.Configuration, err error)
 }
 
 // Follower holds the configuration in force. It gets records from the log, and from peers that read them earlier.
@@ -42,10 +42,10 @@
 	log         Log
 	peers       Peers
 	logger      log.Logger
-	current     atomic.Pointer[inforce.Configuration]
+	current     atomic.Pointer[activeconfig.Configuration]
 	mu          sync.Mutex
 	records     map[int64][]byte
-	listeners   []func(*inforce.Configuration)
+	listeners   []func(*activeconfig.Configuration)
 	snapshot    snapshotState
 	appliedAt   time.Time
 	source      string
@@ -58,15 +58,15 @@
 // New returns a follower with an empty configuration.
 func New(l Log, logger log.Logger) *Follower {
 	f := &Follower{log: l, logger: logger, records: map[int64][]byte{}}
-	f.current.Store(&inforce.Configuration{})
+	f.current.Store(&activeconfig.Configuration{})
 	return f
 }
 
-// Use sets the peers to ask for a snapshot when the log is unavailable. It must be called before Start.
-func (f *Follower) Use(p Peers) { f.peers = p }
+// SetPeers sets the peers to ask for a snapshot when the log is unavailable. It must be called before Start.
+func (f *Follower) SetPeers(p Peers) { f.peers = p }
 
-// Listen registers a function that is called with the current configuration at once, and then with each new one, in order.
-func (f *Follower) Listen(listener func(*inforce.Configuration)) {
+// OnChange registers a function that is called with the current configuration at once, and then with each new one, in order.
+func (f *Follower) OnChange(listener func(*activeconfig.Configuration)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.listeners = append(f.listeners, listener)
@@ -74,7 +74,7 @@
 }
 
 // Current returns the configuration in force.
-func (f *Follower) Current() *inforce.Configuration { return f.current.Load() }
+func (f *Follower) Current() *activeconfig.Configuration { return f.current.Load() }
 
 // Ready reports whether a configuration was recovered; until then the router serves no requests.
 func (f *Follower) Ready() bool { return f.ready.Load() }
@@ -117,7 +117,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		_ = f.logger.Log("event", "configurationBehind", "next", f.Current().Next(), "err", err)
+		_ = f.logger.Log("event", "configurationBehind", "next", f.Current().NextOffset(), "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(retry.NextBackOff()):
@@ -135,7 +135,7 @@
 func (f *Follower) follow(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	p, err := f.log.Read(ctx, Stream, f.Current().Next(), maxPageRecords, longPollWait)
+	p, err := f.log.Read(ctx, Stream, f.Current().NextOffset(), maxPageRecords, longPollWait)
 	var trimmed platformlog.TrimmedError
 	if errors.As(err, &trimmed) {
 		f.initialized = false
@@ -144,7 +144,7 @@
 		return err
 	}
 	for _, r := range p.Records {
-		f.applyRecord(r.Offset, r.Data, r.At, sourceLog)
+		f.applyRecord(r.Offset, r.Data, r.Time, sourceLog)
 	}
 	return nil
 }
@@ -155,8 +155,8 @@
 	sourcePeer = "peer"
 )
 
-// Offer applies a record that a peer sent before this router read it from the log.
-func (f *Follower) Offer(offset int64, data []byte) {
+// ApplyFromPeer applies a record that a peer sent before this router read it from the log.
+func (f *Follower) ApplyFromPeer(offset int64, data []byte) {
 	if f.Ready() {
 		f.applyRecord(offset, data, time.Now(), sourcePeer)
 	}
@@ -174,11 +174,11 @@
 	f.retainRecord(offset, data)
 	f.appliedAt, f.source = time.Now(), source
 	f.publish(next)
-	_ = f.logger.Log("event", "configurationApplied", "offset", offset, "note", next.Current(),
+	_ = f.logger.Log("event", "configurationApplied", "offset", offset, "note", next.CurrentNoteID(),
 		"digest", next.Digest(), "source", source, "logMs", f.appliedAt.Sub(at).Milliseconds())
 }
 
-func (f *Follower) publish(c *inforce.Configuration) {
+func (f *Follower) publish(c *activeconfig.Configuration) {
 	f.current.Store(c)
 	for _, listener := range f.listeners {
 		listener(c)
@@ -190,8 +190,8 @@
 	delete(f.records, offset-retainedRecords)
 }
 
-// Records returns the retained raw records from the offset on, at most max, for a peer that is behind.
-func (f *Follower) Records(from int64, max int) (records [][]byte) {
+// RecordsFrom returns the retained raw records from the offset on, at most max, for a peer that is behind.
+func (f *Follower) RecordsFrom(from int64, max int) (records [][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for len(records) < max {
@@ -227,18 +227,18 @@
 }
 
 // adopt puts a recovered configuration in force, unless the current one is newer.
-func (f *Follower) adopt(c *inforce.Configuration, source string) {
+func (f *Follower) adopt(c *activeconfig.Configuration, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.Next() >= f.current.Load().Next() {
+	if c.NextOffset() >= f.current.Load().NextOffset() {
 		f.appliedAt, f.source = time.Now(), source
 		f.publish(c)
 	}
 	f.ready.Store(true)
-	_ = f.logger.Log("event", "configurationRecovered", "next", c.Next(), "note", c.Current(), "digest", c.Digest(), "source", source)
+	_ = f.logger.Log("event", "configurationRecovered", "next", c.NextOffset(), "note", c.CurrentNoteID(), "digest", c.Digest(), "source", source)
 }
 
-func (f *Follower) recoverFromLog(ctx context.Context) (c *inforce.Configuration, err error) {
+func (f *Follower) recoverFromLog(ctx context.Context) (c *activeconfig.Configuration, err error) {
 	c, records, err := Recover(ctx, f.log)
 	if err != nil {
 		return nil, err
@@ -246,7 +246,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range records {
-		f.snapshot.observe(r.Data, r.At)
+		f.snapshot.observe(r.Data, r.Time)
 		f.retainRecord(r.Offset, r.Data)
 	}
 	return c, nil
--- a/io/configuration/recovery.go
+++ b/io/configuration/recovery.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/annotate"
-	"savoryfall/core/inforce"
 	"savoryfall/io/platformlog"
 )
 
@@ -19,21 +19,21 @@
 
 // Recover builds the configuration from the newest complete snapshot on the log and the records after it. It returns all
 // records that it read.
-func Recover(ctx context.Context, l Log) (c *inforce.Configuration, records []platformlog.Record, err error) {
+func Recover(ctx context.Context, l Log) (c *activeconfig.Configuration, records []platformlog.Record, err error) {
 	defer annotate.Error(&err, "recover configuration from the log")
 	first, records, err := readAll(ctx, l)
 	if err != nil {
 		return nil, nil, err
 	}
-	var assembler inforce.Recovery
+	var assembler activeconfig.SnapshotAssembler
 	for _, r := range records {
-		assembler.Read(r.Data)
+		assembler.Add(r.Data)
 	}
-	c = &inforce.Configuration{}
-	if best := assembler.Best(); best != nil {
+	c = &activeconfig.Configuration{}
+	if best := assembler.Newest(); best != nil {
 		c = best
 	}
-	if c.Next() < first {
+	if c.NextOffset() < first {
 		return nil, nil, NoSnapshotError{First: first}
 	}
 	for _, r := range records {
--- a/io/configuration/snapshots.go
+++ b/io/configuration/snapshots.go
@@ -6,8 +6,8 @@
 
 	"github.com/google/uuid"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/annotate"
-	"savoryfall/core/inforce"
 )
 
 // snapshotState tracks the newest snapshot on the stream and the notes after it.
@@ -18,7 +18,7 @@
 }
 
 func (s *snapshotState) observe(data []byte, at time.Time) {
-	if inforce.IsSnapshot(data) {
+	if activeconfig.IsSnapshotPart(data) {
 		s.newestSnapshot, s.notesSince = at, 0
 		return
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	records, err := inforce.SnapshotRecords(uuid.NewString(), data)
+	records, err := activeconfig.SnapshotRecords(uuid.NewString(), data)
 	if err != nil {
 		return err
 	}
@@ -71,6 +71,6 @@
 			return err
 		}
 	}
-	_ = f.logger.Log("event", "snapshotWritten", "next", f.Current().Next(), "bytes", len(data))
+	_ = f.logger.Log("event", "snapshotWritten", "next", f.Current().NextOffset(), "bytes", len(data))
 	return nil
 }
--- a/io/endpoint/client_test.go
+++ b/io/endpoint/client_test.go
@@ -61,7 +61,7 @@
 	address, reached := flakyServer(t)
 	c := endpoint.New(nil)
 	call := endpoint.Call{Address: address, Method: http.MethodPost, Path: "/issue", Header: http.Header{}}
-	call.Header.Set(header.Idempotency, "k1")
+	call.Header.Set(header.IdempotencyKey, "k1")
 	resp, err := c.Do(t.Context(), call)
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
@@ -80,7 +80,7 @@
 	for range 2 {
 		r, err := http.NewRequest(http.MethodPost, "http://"+address+"/issue", nil)
 		assert.NilError(t, err)
-		r.Header.Set(header.Idempotency, "k1")
+		r.Header.Set(header.IdempotencyKey, "k1")
 		resp, err := plain.RoundTrip(r)
 		assert.NilError(t, err)
 		assert.NilError(t, resp.Body.Close())
--- a/io/entry/attempt.go
+++ b/io/entry/attempt.go
@@ -10,9 +10,9 @@
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/trace"
 
-	"savoryfall/core/ask"
-	"savoryfall/core/comeback"
 	"savoryfall/core/dispatch"
+	"savoryfall/core/request"
+	"savoryfall/core/retryafter"
 	"savoryfall/io/http1"
 )
 
@@ -20,7 +20,7 @@
 type attempt struct {
 	*dispatch.Attempt
 	response *http1.Response
-	reply    ask.Reply
+	reply    request.EndpointResponse
 	// ctx is done when the request's context is done or cancel is called. cancel may be called from any goroutine.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -28,7 +28,7 @@
 
 // firstBytesReceived records the first bytes of the response and the load reported in its header.
 func (a *attempt) firstBytesReceived() {
-	a.Answered(dispatch.Load{Running: a.reply.Running, Waiting: a.reply.Waiting, Known: a.reply.HasLoad}, time.Now())
+	a.RecordFirstBytes(dispatch.Load{Running: a.reply.Running, Waiting: a.reply.Waiting, Known: a.reply.HasLoad}, time.Now())
 }
 
 // responseSlack is added to the deadline that the endpoint is given, so that its own response at the deadline still
@@ -36,7 +36,7 @@
 const responseSlack = 40 * time.Millisecond
 
 // chooseEndpoint selects the endpoint for the next attempt. If there is none, the problem gives the reason.
-func (x *exchange) chooseEndpoint() (a *attempt, p *ask.Problem) {
+func (x *exchange) chooseEndpoint() (a *attempt, p *request.Problem) {
 	d, reason := x.front.Dispatcher.Choose(dispatch.Query{
 		Service: x.service, Prompt: x.ask.Prompt, Rank: x.rank(), Account: x.accountName(), Tried: x.tried,
 	}, time.Now())
@@ -44,19 +44,19 @@
 	case d != nil:
 		ctx, cancel := context.WithCancel(x.ctx)
 		return &attempt{Attempt: d, ctx: ctx, cancel: cancel}, nil
-	case reason == dispatch.ReasonFull:
-		return nil, ask.NotRun(ask.Full, x.retryAfterFull())
+	case reason == dispatch.ReasonAllFull:
+		return nil, request.NotRun(request.Full, x.retryAfterFull())
 	case reason == dispatch.ReasonReserved:
-		return nil, ask.NotRun(ask.Reserved, x.retryAfterFull())
+		return nil, request.NotRun(request.Reserved, x.retryAfterFull())
 	}
-	return nil, ask.NotRun(ask.NoEndpoint, retryLater)
+	return nil, request.NotRun(request.NoEndpoint, retryLater)
 }
 
 // retryAfterFull returns when the client should retry a request to a service that is at capacity.
 func (x *exchange) retryAfterFull() time.Duration {
 	now := time.Now()
 	full := x.front.Dispatcher.FullFor(x.service, x.rank(), now)
-	return comeback.After(full, x.route.Goal, x.deadline.Sub(now), rand.Float64())
+	return retryafter.Delay(full, x.route.ResponseGoal, x.deadline.Sub(now), rand.Float64())
 }
 
 // send sends the request and waits for the header of the response until the given time.
@@ -66,27 +66,27 @@
 		attribute.String("request", x.ask.ID), attribute.String("endpoint", e.ID), attribute.String("service", e.Service),
 	))
 	defer span.End()
-	h := x.front.Endpoints.Encode(forwardedHeader(x.r.Header), x.endpointRequest(a, lastEvent))
+	h := x.front.EndpointProtocol.Encode(forwardedHeader(x.r.Header), x.endpointRequest(a, lastEvent))
 	x.tried = append(x.tried, e.ID)
 	a.response, err = x.front.Pool.Do(ctx, http1.Request{
 		Address: e.Address, Method: x.ask.Method, Target: x.ask.Target, Host: x.ask.Host, Header: h,
 		Body: x.body, HasBody: x.r.ContentLength != 0 || len(x.body) > 0, Deadline: until,
-		Matches: func(h http.Header) bool { return x.front.Endpoints.Answers(h, x.ask.ID) },
+		Matches: func(h http.Header) bool { return x.front.EndpointProtocol.MatchesRequest(h, x.ask.ID) },
 	})
 	if err != nil {
 		return err
 	}
-	a.reply = x.front.Endpoints.Decode(a.response.Status, a.response.Header)
+	a.reply = x.front.EndpointProtocol.Decode(a.response.Status, a.response.Header)
 	return nil
 }
 
-func (x *exchange) endpointRequest(a *attempt, lastEvent string) (s ask.Sending) {
-	s = ask.Sending{
-		ID: x.ask.ID, Endpoint: a.Endpoint().ID, Left: time.Until(x.deadline), LastEvent: lastEvent, FetchFrom: a.Donor(),
+func (x *exchange) endpointRequest(a *attempt, lastEvent string) (s request.EndpointRequest) {
+	s = request.EndpointRequest{
+		ID: x.ask.ID, Endpoint: a.Endpoint().ID, Remaining: time.Until(x.deadline), LastEventID: lastEvent, FetchFrom: a.FetchSource(),
 		Account: x.accountName(),
 	}
 	if len(x.ask.Prompt) > 0 {
-		s.Urgency, s.HasUrgency = x.urgency(), true
+		s.Priority, s.HasPriority = x.urgency(), true
 	}
 	return s
 }
@@ -119,7 +119,7 @@
 	}
 	took, first := a.End(v, time.Now())
 	if first {
-		x.front.Figures.attempt(x.service, v, took)
+		x.front.Metrics.attempt(x.service, v, took)
 	}
 }
 
@@ -140,8 +140,8 @@
 
 // tryEndpoints makes attempts, each at a different endpoint, until one is done or no further attempt is allowed. The
 // problem is that of the last attempt.
-func (x *exchange) tryEndpoints(try func(a *attempt) (done bool, p *ask.Problem)) (done bool, p *ask.Problem) {
-	p = ask.NotRun(ask.NoEndpoint, retryLater)
+func (x *exchange) tryEndpoints(try func(a *attempt) (done bool, p *request.Problem)) (done bool, p *request.Problem) {
+	p = request.NotRun(request.NoEndpoint, retryLater)
 	for range maxChoices {
 		if !x.allowAttempt(time.Now()) {
 			return false, p
--- a/io/entry/exchange.go
+++ b/io/entry/exchange.go
@@ -9,20 +9,20 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"savoryfall/core/ask"
+	"savoryfall/core/request"
 	"savoryfall/core/routetable"
 	"savoryfall/io/clientconn"
 )
 
 // exchange is the processing of one request.
 type exchange struct {
-	front    *Front
+	front    *Handler
 	w        http.ResponseWriter
 	r        *http.Request
 	ctx      context.Context
 	began    time.Time
 	deadline time.Time
-	ask      ask.Ask
+	ask      request.Request
 	table    *routetable.Table
 	route    *routetable.Route
 	account  *routetable.Account
@@ -60,11 +60,11 @@
 	}
 }
 
-func (x *exchange) decode() *ask.Problem {
-	a, err := x.front.Clients.Decode(x.r)
+func (x *exchange) decode() *request.Problem {
+	a, err := x.front.ClientProtocol.Decode(x.r)
 	x.ask = a
 	if err != nil {
-		return ask.NotRun(ask.Malformed, 0)
+		return request.NotRun(request.Malformed, 0)
 	}
 	return nil
 }
@@ -78,30 +78,30 @@
 )
 
 // admit looks up the route and the client account in the active configuration, and refuses what that does not allow.
-func (x *exchange) admit() *ask.Problem {
+func (x *exchange) admit() *request.Problem {
 	f := x.front
 	if f.phase.Load() == phaseRefusing {
-		return ask.NotRun(ask.Stopping, retrySoon)
+		return request.NotRun(request.Stopping, retrySoon)
 	}
 	x.table = f.Configuration.Current()
 	if x.table == nil {
-		return ask.NotRun(ask.NoConfiguration, retryLater)
+		return request.NotRun(request.NoConfiguration, retryLater)
 	}
-	if limit := x.table.Limits().MaxHeader; limit > 0 && headerSize(x.r) > limit {
-		return ask.NotRun(ask.HeaderTooLarge, 0)
+	if limit := x.table.Limits().MaxHeaderBytes; limit > 0 && headerSize(x.r) > limit {
+		return request.NotRun(request.HeaderTooLarge, 0)
 	}
 	fresh := f.Lease.Valid(f.Clock())
 	x.route = x.table.Route(x.ask.Host, x.ask.Path)
 	if x.route == nil {
-		return staleKeysOr(fresh, ask.NotRun(ask.UnknownRoute, 0))
+		return staleKeysOr(fresh, request.NotRun(request.UnknownRoute, 0))
 	}
-	if x.table.Keyed() && !x.route.Public {
-		x.account = x.table.Account(x.ask.Key)
+	if x.table.RequiresKey() && !x.route.Public {
+		x.account = x.table.AccountByKey(x.ask.APIKey)
 		if !fresh {
-			return ask.NotRun(ask.StaleKeys, retryLater)
+			return request.NotRun(request.StaleKeys, retryLater)
 		}
 		if x.account == nil {
-			return ask.NotRun(ask.UnknownKey, 0)
+			return request.NotRun(request.UnknownKey, 0)
 		}
 	}
 	x.deadline = x.began.Add(x.timeout())
@@ -109,16 +109,16 @@
 }
 
 // staleKeysOr keeps a router whose configuration may be out of date from denying what the newest one may allow.
-func staleKeysOr(fresh bool, p *ask.Problem) *ask.Problem {
+func staleKeysOr(fresh bool, p *request.Problem) *request.Problem {
 	if !fresh {
-		return ask.NotRun(ask.StaleKeys, retryLater)
+		return request.NotRun(request.StaleKeys, retryLater)
 	}
 	return p
 }
 
 // timeout returns how long the request may take: the client's timeout, limited to that of the route.
 func (x *exchange) timeout() time.Duration {
-	d := x.ask.Patience
+	d := x.ask.Timeout
 	if x.route.Timeout > 0 && (d <= 0 || d > x.route.Timeout) {
 		d = x.route.Timeout
 	}
@@ -136,13 +136,13 @@
 
 // readBody reads the whole body, so that the request can be sent to several endpoints and net/http notices when the
 // client disconnects.
-func (x *exchange) readBody() *ask.Problem {
-	limit := x.table.Limits().MaxBody
+func (x *exchange) readBody() *request.Problem {
+	limit := x.table.Limits().MaxBodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
 	}
 	if x.r.ContentLength > limit {
-		return ask.NotRun(ask.BodyTooLarge, 0)
+		return request.NotRun(request.BodyTooLarge, 0)
 	}
 	if !x.hasBody() {
 		return nil
@@ -155,11 +155,11 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return ask.NotRun(ask.BodyTooLarge, 0)
+		return request.NotRun(request.BodyTooLarge, 0)
 	case isTimeout(err):
-		return ask.NotRun(ask.BodySlow, 0)
+		return request.NotRun(request.BodySlow, 0)
 	case err != nil:
-		return ask.NotRun(ask.Malformed, 0)
+		return request.NotRun(request.Malformed, 0)
 	}
 	x.body = body
 	return nil
@@ -173,10 +173,10 @@
 }
 
 // forward sends the request to endpoints until one of them has answered it.
-func (x *exchange) forward() *ask.Problem {
+func (x *exchange) forward() *request.Problem {
 	_ = http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeSlack))
-	x.service = x.route.Target(routeFraction(x.ask.ID))
-	x.front.Retries.First(x.service, time.Now())
+	x.service = x.route.ChooseService(routeFraction(x.ask.ID))
+	x.front.Retries.RecordFirst(x.service, time.Now())
 	if x.route.Kind.Streaming() {
 		return x.forwardStream()
 	}
--- a/io/entry/front.go
+++ b/io/entry/front.go
@@ -9,27 +9,27 @@
 	"github.com/go-kit/log"
 	"go.opentelemetry.io/otel/trace"
 
-	"savoryfall/core/ask"
 	"savoryfall/core/background"
 	"savoryfall/core/dispatch"
 	"savoryfall/core/freshness"
-	"savoryfall/core/retryshare"
+	"savoryfall/core/request"
+	"savoryfall/core/retrylimit"
 	"savoryfall/core/routetable"
 	"savoryfall/io/clientconn"
 	"savoryfall/io/http1"
 )
 
-// Clients implements the protocol of the clients.
-type Clients interface {
-	Decode(r *http.Request) (a ask.Ask, err error)
-	Refuse(p *ask.Problem, h http.Header) (status int)
+// ClientProtocol implements the protocol of the clients.
+type ClientProtocol interface {
+	Decode(r *http.Request) (a request.Request, err error)
+	EncodeRefusal(p *request.Problem, h http.Header) (status int)
 }
 
-// Endpoints implements the protocol of the endpoints.
-type Endpoints interface {
-	Encode(client http.Header, s ask.Sending) http.Header
-	Answers(h http.Header, id string) bool
-	Decode(status int, h http.Header) ask.Reply
+// EndpointProtocol implements the protocol of the endpoints.
+type EndpointProtocol interface {
+	Encode(client http.Header, s request.EndpointRequest) http.Header
+	MatchesRequest(h http.Header, id string) bool
+	Decode(status int, h http.Header) request.EndpointResponse
 }
 
 // Configuration provides the active configuration, nil before the first one.
@@ -37,25 +37,25 @@
 	Current() *routetable.Table
 }
 
-// Parts are the dependencies of a Front.
-type Parts struct {
-	Clients       Clients
-	Endpoints     Endpoints
-	Configuration Configuration
-	Lease         *freshness.Lease
-	Dispatcher    *dispatch.Dispatcher
-	Retries       *retryshare.Share
-	Pool          *http1.Pool
-	Tracer        trace.Tracer
-	Figures       *Figures
-	Logger        log.Logger
+// Config are the dependencies of a Front.
+type Config struct {
+	ClientProtocol   ClientProtocol
+	EndpointProtocol EndpointProtocol
+	Configuration    Configuration
+	Lease            *freshness.Lease
+	Dispatcher       *dispatch.Dispatcher
+	Retries          *retrylimit.Limiter
+	Pool             *http1.Pool
+	Tracer           trace.Tracer
+	Metrics          *Metrics
+	Logger           log.Logger
 	// Clock returns the time since boot, including time in which the VM was suspended.
 	Clock func() time.Duration
 }
 
-// Front is the HTTP handler for client requests.
-type Front struct {
-	Parts
+// Handler is the HTTP handler for client requests.
+type Handler struct {
+	Config
 	phase atomic.Int32
 	open  atomic.Int64
 	began time.Time
@@ -70,7 +70,7 @@
 )
 
 // New creates a Front.
-func New(p Parts) *Front { return &Front{Parts: p, began: time.Now()} }
+func New(p Config) *Handler { return &Handler{Config: p, began: time.Now()} }
 
 const (
 	// startupPeriod is how long after its start a process may still be without a configuration: it either receives one
@@ -85,35 +85,35 @@
 // awaitConfiguration delays a request while a process that has just started has no configuration. Routers that restart
 // together receive requests before any of them has one. Clients that were told to retry were then served late, or used
 // their last attempt on another router that had no configuration either.
-func (f *Front) awaitConfiguration(ctx context.Context) {
+func (f *Handler) awaitConfiguration(ctx context.Context) {
 	until := time.Now().Add(maxStartupWait)
 	for f.Configuration.Current() == nil && time.Since(f.began) < startupPeriod && time.Now().Before(until) && ctx.Err() == nil {
-		background.Pause(ctx, startupPollPeriod, nil)
+		background.Sleep(ctx, startupPollPeriod, nil)
 	}
 }
 
-// Leave makes the front report that it is not ready, and asks clients to close their connections after the next
+// SetUnready makes the front report that it is not ready, and asks clients to close their connections after the next
 // response.
-func (f *Front) Leave() { f.phase.CompareAndSwap(phaseServing, phaseDraining) }
+func (f *Handler) SetUnready() { f.phase.CompareAndSwap(phaseServing, phaseDraining) }
 
-// Close refuses further requests.
-func (f *Front) Close() { f.phase.Store(phaseRefusing) }
+// RefuseNew refuses further requests.
+func (f *Handler) RefuseNew() { f.phase.Store(phaseRefusing) }
 
-// Open returns the number of requests in progress.
-func (f *Front) Open() int64 { return f.open.Load() }
+// ActiveRequests returns the number of requests in progress.
+func (f *Handler) ActiveRequests() int64 { return f.open.Load() }
 
 // maxReadyAge is the age of the last read of the configuration from which on the front reports that it is not ready.
 // The load balancer takes about two seconds to react, and by then the configuration may hardly be used any longer.
 const maxReadyAge = 3200 * time.Millisecond
 
 // Ready reports whether the load balancer should send new clients.
-func (f *Front) Ready() bool {
+func (f *Handler) Ready() bool {
 	age, known := f.Lease.Age(f.Clock())
 	return f.phase.Load() == phaseServing && known && age < maxReadyAge && f.Configuration.Current() != nil
 }
 
 // ServeHTTP serves one request.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.open.Add(1)
 	defer f.open.Add(-1)
 	x := &exchange{front: f, w: w, r: r, began: time.Now(), conn: clientconn.FromContext(r.Context())}
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -6,40 +6,40 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"savoryfall/core/ask"
 	"savoryfall/core/dispatch"
+	"savoryfall/core/request"
 	"savoryfall/core/routetable"
 )
 
-// Figures are the metrics of client requests. Their labels are kinds, reasons and endpoint services, so that the number
+// Metrics are the metrics of client requests. Their labels are kinds, reasons and endpoint services, so that the number
 // of series does not grow with the number of accounts and routes.
-type Figures struct {
+type Metrics struct {
 	set *metrics.Set
 }
 
-// NewFigures creates metrics that are registered in the set on first use.
-func NewFigures(set *metrics.Set) *Figures { return &Figures{set: set} }
+// NewMetrics creates metrics that are registered in the set on first use.
+func NewMetrics(set *metrics.Set) *Metrics { return &Metrics{set: set} }
 
-func (f *Figures) recordServed(kind string, status int, took time.Duration) {
+func (f *Metrics) recordServed(kind string, status int, took time.Duration) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,status="%d",reason="served"}`, kind, status)).Inc()
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_request_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
-func (f *Figures) recordRefused(kind string, p *ask.Problem) {
+func (f *Metrics) recordRefused(kind string, p *request.Problem) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,outcome=%q,reason=%q}`, kind, p.Outcome, p.Reason)).Inc()
 }
 
 // attempt counts an attempt at an endpoint of the service and records how long it occupied the endpoint.
-func (f *Figures) attempt(service string, v dispatch.Verdict, took time.Duration) {
+func (f *Metrics) attempt(service string, v dispatch.Verdict, took time.Duration) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_attempts_total{service=%q,verdict=%q}`, service, v)).Inc()
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_attempt_seconds{service=%q}`, service)).Update(took.Seconds())
 }
 
-func (f *Figures) firstEvent(kind string, took time.Duration) {
+func (f *Metrics) firstEvent(kind string, took time.Duration) {
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_first_event_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
-func (x *exchange) firstEvent() { x.front.Figures.firstEvent(x.kind(), time.Since(x.began)) }
+func (x *exchange) firstEvent() { x.front.Metrics.firstEvent(x.kind(), time.Since(x.began)) }
 
 // kind returns the value of the label for the route's kind.
 func (x *exchange) kind() string {
--- a/io/entry/plain.go
+++ b/io/entry/plain.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"savoryfall/core/ask"
 	"savoryfall/core/dispatch"
+	"savoryfall/core/request"
 )
 
 // maxResponseBytes limits the body of a response that is not a stream.
@@ -20,10 +20,10 @@
 }
 
 // forwardPlain handles a request whose response is a single body.
-func (x *exchange) forwardPlain() (p *ask.Problem) {
+func (x *exchange) forwardPlain() (p *request.Problem) {
 	// endpointFailure is an endpoint's own error response, which is returned if no other endpoint does better.
 	var endpointFailure *plainResponse
-	done, p := x.tryEndpoints(func(a *attempt) (done bool, p *ask.Problem) {
+	done, p := x.tryEndpoints(func(a *attempt) (done bool, p *request.Problem) {
 		endpointFailure = nil
 		response, p := x.tryPlain(a)
 		if p != nil {
@@ -31,7 +31,7 @@
 		}
 		if x.worthRetrying(response) {
 			endpointFailure = response
-			return false, ask.Unknown(ask.Broken)
+			return false, request.Unknown(request.Broken)
 		}
 		x.writeResponse(response)
 		return true, nil
@@ -49,20 +49,20 @@
 }
 
 // tryPlain makes one attempt and reads the complete response.
-func (x *exchange) tryPlain(a *attempt) (response *plainResponse, p *ask.Problem) {
-	err := x.send(a, x.attemptDeadline(), x.ask.LastEvent)
+func (x *exchange) tryPlain(a *attempt) (response *plainResponse, p *request.Problem) {
+	err := x.send(a, x.attemptDeadline(), x.ask.LastEventID)
 	if err != nil {
 		v, ran := classifyError(err)
 		x.finishAttempt(a, v)
 		if !ran {
-			return nil, ask.NotRun(ask.Unreachable, retrySoon)
+			return nil, request.NotRun(request.Unreachable, retrySoon)
 		}
 		x.sends++
 		return nil, x.unknownOutcome(v)
 	}
 	x.sends++
 	a.firstBytesReceived()
-	if a.reply.NotRun {
+	if a.reply.NotExecuted {
 		return nil, x.refusedByEndpoint(a)
 	}
 	body, err := a.response.ReadAll(maxResponseBytes)
@@ -72,7 +72,7 @@
 	}
 	if !x.fromEndpoint(a) {
 		x.finishAttempt(a, dispatch.Broken)
-		return nil, ask.Unknown(ask.Broken)
+		return nil, request.Unknown(request.Broken)
 	}
 	v := dispatch.Served
 	if a.response.Status >= http.StatusInternalServerError {
@@ -84,29 +84,29 @@
 }
 
 // refusedByEndpoint finishes an attempt that the endpoint refused to run.
-func (x *exchange) refusedByEndpoint(a *attempt) *ask.Problem {
-	if a.reply.Elsewhere {
+func (x *exchange) refusedByEndpoint(a *attempt) *request.Problem {
+	if a.reply.WrongInstance {
 		// The address now belongs to another instance. The endpoint list will show that later.
-		x.front.Dispatcher.Gone(a.Endpoint().ID)
+		x.front.Dispatcher.MarkReplaced(a.Endpoint().ID)
 	}
 	_, _ = a.response.ReadAll(maxResponseBytes)
 	x.finishAttempt(a, dispatch.Refused)
-	return ask.NotRun(ask.Refused, retrySoon)
+	return request.NotRun(request.Refused, retrySoon)
 }
 
 // fromEndpoint reports whether the response was made by the endpoint itself.
 func (x *exchange) fromEndpoint(a *attempt) bool {
-	if a.reply.Encoded {
+	if a.reply.ContentEncoded {
 		return false
 	}
-	return a.reply.Signed || a.response.Status >= http.StatusMultipleChoices
+	return a.reply.FromEndpoint || a.response.Status >= http.StatusMultipleChoices
 }
 
-func (x *exchange) unknownOutcome(v dispatch.Verdict) *ask.Problem {
+func (x *exchange) unknownOutcome(v dispatch.Verdict) *request.Problem {
 	if v == dispatch.Silent {
-		return ask.Unknown(ask.Late)
+		return request.Unknown(request.DeadlineExceeded)
 	}
-	return ask.Unknown(ask.Broken)
+	return request.Unknown(request.Broken)
 }
 
 // firstAttemptDivisor limits the first attempt at a repeatable request to a third of the time left, so that there is
--- a/io/entry/refuse.go
+++ b/io/entry/refuse.go
@@ -4,23 +4,23 @@
 	"net/http"
 	"time"
 
-	"savoryfall/core/ask"
 	"savoryfall/core/event"
 	"savoryfall/core/field"
 	"savoryfall/core/outcome"
+	"savoryfall/core/request"
 )
 
 const notRun = outcome.NotRun
 
 // refuse answers the request with the problem, unless the client can no longer be reached.
-func (x *exchange) refuse(p *ask.Problem) {
+func (x *exchange) refuse(p *request.Problem) {
 	if reason := x.clientGoneReason(); reason != "" {
-		x.recordRefusal(0, &ask.Problem{Reason: reason, Outcome: p.Outcome})
+		x.recordRefusal(0, &request.Problem{Reason: reason, Outcome: p.Outcome})
 		panic(http.ErrAbortHandler)
 	}
 	x.limitBodyDrain()
 	h := x.w.Header()
-	status := x.front.Clients.Refuse(p, h)
+	status := x.front.ClientProtocol.EncodeRefusal(p, h)
 	h.Set("Content-Length", "0")
 	x.setConnectionClose(h)
 	x.w.WriteHeader(status)
@@ -29,9 +29,9 @@
 
 // abort ends a response that was partly sent. The connection is closed early, so that the client cannot take the
 // response for complete.
-func (x *exchange) abort(p *ask.Problem) {
+func (x *exchange) abort(p *request.Problem) {
 	if reason := x.clientGoneReason(); reason != "" {
-		p = &ask.Problem{Reason: reason, Outcome: p.Outcome}
+		p = &request.Problem{Reason: reason, Outcome: p.Outcome}
 	}
 	x.recordRefusal(0, p)
 	panic(http.ErrAbortHandler)
@@ -40,18 +40,18 @@
 // clientGoneReason returns why the client can no longer be answered, or "" if it can. A cancelled context is not
 // enough: net/http cancels it on any read error, also after this router's own read deadline for the body, and a slow
 // client must be told.
-func (x *exchange) clientGoneReason() (reason ask.Reason) {
+func (x *exchange) clientGoneReason() (reason request.Reason) {
 	if x.ctx.Err() == nil {
 		return ""
 	}
 	if x.conn == nil {
-		return ask.Gone
+		return request.ClientGone
 	}
 	switch closeReason := x.conn.CloseReason(); {
 	case closeReason.Local():
-		return ask.ConnectionEnded
+		return request.ConnectionEnded
 	case closeReason != "":
-		return ask.Gone
+		return request.ClientGone
 	}
 	return ""
 }
@@ -69,7 +69,7 @@
 }
 
 func (x *exchange) recordServed(status int) {
-	x.front.Figures.recordServed(x.kind(), status, time.Since(x.began))
+	x.front.Metrics.recordServed(x.kind(), status, time.Since(x.began))
 	if x.sends > 1 {
 		_ = x.front.Logger.Log(field.Event, event.RequestServed, field.Request, x.ask.ID, field.Route, x.routeName(), field.Status, status,
 			field.Sends, x.sends, field.Endpoints, x.endpoints(), field.Version, x.version(), field.Ms, time.Since(x.began).Milliseconds())
@@ -81,16 +81,16 @@
 }
 
 // recordRefusal logs and counts a request that was not served.
-func (x *exchange) recordRefusal(status int, p *ask.Problem) {
-	x.front.Figures.recordRefused(x.kind(), p)
+func (x *exchange) recordRefusal(status int, p *request.Problem) {
+	x.front.Metrics.recordRefused(x.kind(), p)
 	age, _ := x.front.Lease.Age(x.front.Clock())
 	line := []any{
 		field.Event, event.RequestRefused, field.Request, x.ask.ID, field.Route, x.routeName(), field.Status, status,
-		field.Reason, p.Reason, field.Outcome, p.Outcome, field.BackMs, p.Back.Milliseconds(), field.Sends, x.sends,
+		field.Reason, p.Reason, field.Outcome, p.Outcome, field.BackMs, p.RetryAfter.Milliseconds(), field.Sends, x.sends,
 		field.Endpoints, x.endpoints(), field.Version, x.version(), field.ReadAgeMs, age.Milliseconds(),
 		field.Ms, time.Since(x.began).Milliseconds(),
 	}
-	if p.Reason == ask.Full || p.Reason == ask.Reserved {
+	if p.Reason == request.Full || p.Reason == request.Reserved {
 		line = append(line, x.occupancyFields()...)
 	}
 	if x.conn != nil && x.conn.CloseReason() != "" {
@@ -105,7 +105,7 @@
 	taken, places := x.front.Dispatcher.Occupancy(x.service, now)
 	return []any{
 		field.Service, x.service, field.Rank, x.rank(), field.Account, x.accountName(), field.Taken, taken, field.Places, places,
-		field.LoadsAgeMs, x.front.Dispatcher.ViewAge(now).Milliseconds(),
+		field.LoadsAgeMs, x.front.Dispatcher.LoadReportAge(now).Milliseconds(),
 	}
 }
 
--- a/io/entry/server.go
+++ b/io/entry/server.go
@@ -16,7 +16,7 @@
 
 // Server listens for clients and closes their idle connections according to the active configuration.
 type Server struct {
-	front   *Front
+	front   *Handler
 	conns   *clientconn.Set
 	http    *http.Server
 	running background.Group
@@ -38,18 +38,18 @@
 var clientKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
 // NewServer creates a server and starts to listen on the address.
-func NewServer(address string, f *Front) (s *Server, err error) {
+func NewServer(address string, f *Handler) (s *Server, err error) {
 	defer annotate.Error(&err, "listen for clients on %s", address)
 	listen := net.ListenConfig{KeepAliveConfig: clientKeepAlive}
 	l, err := listen.Listen(context.Background(), "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	return NewServerOn(l, f), nil
+	return NewServerWithListener(l, f), nil
 }
 
-// NewServerOn creates a server for the clients that the listener accepts.
-func NewServerOn(l net.Listener, f *Front) (s *Server) {
+// NewServerWithListener creates a server for the clients that the listener accepts.
+func NewServerWithListener(l net.Listener, f *Handler) (s *Server) {
 	s = &Server{front: f, http: &http.Server{Handler: f, MaxHeaderBytes: defaultMaxHeaderBytes}}
 	s.conns = clientconn.New(l, s.limits)
 	s.conns.Attach(s.http)
@@ -88,7 +88,7 @@
 // limits returns the limits of the active configuration, with defaults where it sets none. Without a configuration,
 // connections may be idle without limit: their clients will retry when there is one.
 func (s *Server) limits() (l clientconn.Limits) {
-	l.Header = defaultHeaderTimeout
+	l.HeaderTimeout = defaultHeaderTimeout
 	t := s.front.Configuration.Current()
 	if t == nil {
 		return l
@@ -98,7 +98,7 @@
 		l.Idle = t.Limits().IdleTimeout
 	}
 	if t.Limits().HeaderTimeout > 0 {
-		l.Header = t.Limits().HeaderTimeout
+		l.HeaderTimeout = t.Limits().HeaderTimeout
 	}
 	return l
 }
@@ -125,9 +125,9 @@
 	part := func(share float64) time.Duration { return time.Duration(share * float64(grace)) }
 	ctx, cancel := context.WithTimeout(context.Background(), part(drainShare))
 	defer cancel()
-	s.front.Leave()
+	s.front.SetUnready()
 	time.Sleep(part(leaveShare))
-	s.front.Close()
+	s.front.RefuseNew()
 	s.linger(ctx, part(lingerShare))
 	_ = s.conns.Close()
 	_ = s.conns.Drain(ctx)
--- a/io/entry/stream.go
+++ b/io/entry/stream.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"savoryfall/core/ask"
 	"savoryfall/core/dispatch"
-	"savoryfall/core/eventsplit"
+	"savoryfall/core/request"
+	"savoryfall/core/sse"
 )
 
 // relay forwards a stream to the client over one or more attempts.
@@ -24,10 +24,10 @@
 }
 
 // forwardStream handles a request whose response is a stream of events.
-func (x *exchange) forwardStream() (p *ask.Problem) {
-	s := &relay{x: x, lastEvent: x.ask.LastEvent}
+func (x *exchange) forwardStream() (p *request.Problem) {
+	s := &relay{x: x, lastEvent: x.ask.LastEventID}
 	s.flusher, _ = x.w.(http.Flusher)
-	last, err := strconv.ParseInt(x.ask.LastEvent, 10, 64)
+	last, err := strconv.ParseInt(x.ask.LastEventID, 10, 64)
 	s.lastID, s.hasLast = last, err == nil
 	done, p := x.tryEndpoints(s.try)
 	if done {
@@ -40,7 +40,7 @@
 }
 
 // try forwards the stream of one attempt. done reports that the client has its complete response.
-func (s *relay) try(a *attempt) (done bool, p *ask.Problem) {
+func (s *relay) try(a *attempt) (done bool, p *request.Problem) {
 	x := s.x
 	w := s.silenceWatch(a)
 	defer w.stop()
@@ -49,13 +49,13 @@
 		v, ran := classifyError(err)
 		x.finishAttempt(a, v)
 		if !ran {
-			return false, ask.NotRun(ask.Unreachable, retrySoon)
+			return false, request.NotRun(request.Unreachable, retrySoon)
 		}
 		x.sends++
 		return false, x.unknownOutcome(v)
 	}
 	x.sends++
-	if a.reply.NotRun {
+	if a.reply.NotExecuted {
 		a.firstBytesReceived()
 		return false, x.refusedByEndpoint(a)
 	}
@@ -66,17 +66,17 @@
 }
 
 // forwardNonStream handles a response that is not a stream.
-func (s *relay) forwardNonStream(a *attempt) (done bool, p *ask.Problem) {
+func (s *relay) forwardNonStream(a *attempt) (done bool, p *request.Problem) {
 	x := s.x
 	body, err := a.response.ReadAll(maxResponseBytes)
 	response := &plainResponse{status: a.response.Status, header: a.response.Header, body: body}
 	if err != nil || !x.fromEndpoint(a) {
 		x.finishAttempt(a, dispatch.Broken)
-		return false, ask.Unknown(ask.Broken)
+		return false, request.Unknown(request.Broken)
 	}
 	x.finishAttempt(a, dispatch.Failed)
 	if s.headerWritten || x.worthRetrying(response) && x.sends < x.route.MaxAttempts {
-		return false, ask.Unknown(ask.Broken)
+		return false, request.Unknown(request.Broken)
 	}
 	x.writeResponse(response)
 	return true, nil
@@ -97,17 +97,17 @@
 }
 
 // canMove reports whether another endpoint of the service could continue the stream of the attempt now.
-func (f *Front) canMove(service string, a *attempt) bool {
+func (f *Handler) canMove(service string, a *attempt) bool {
 	now := time.Now()
-	return f.Retries.Left(service, now) >= 1 && f.Dispatcher.Room(service, a.Endpoint().ID, now)
+	return f.Retries.Remaining(service, now) >= 1 && f.Dispatcher.HasCapacityElsewhere(service, a.Endpoint().ID, now)
 }
 
 // errNotForwardable is returned if the events could not be forwarded to the client as received.
 var errNotForwardable = errors.New("events cannot be forwarded")
 
 // relay forwards complete events until the stream ends or fails.
-func (s *relay) relay(a *attempt, w *silenceWatch) (done bool, p *ask.Problem) {
-	var split eventsplit.Splitter
+func (s *relay) relay(a *attempt, w *silenceWatch) (done bool, p *request.Problem) {
+	var split sse.Splitter
 	err := s.copy(a, w, &split)
 	if errors.Is(err, io.EOF) {
 		return s.finish(a, &split)
@@ -116,7 +116,7 @@
 }
 
 // copy reads until the stream fails or the body ends, for which it returns io.EOF.
-func (s *relay) copy(a *attempt, w *silenceWatch, split *eventsplit.Splitter) (err error) {
+func (s *relay) copy(a *attempt, w *silenceWatch, split *sse.Splitter) (err error) {
 	if s.buf == nil {
 		s.buf = make([]byte, streamReadSize)
 	}
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *relay) fail(a *attempt, err error) (done bool, p *ask.Problem) {
+func (s *relay) fail(a *attempt, err error) (done bool, p *request.Problem) {
 	v := dispatch.Broken
 	if isTimeout(err) {
 		v = dispatch.Silent
@@ -144,11 +144,11 @@
 }
 
 // finish handles the end of the response body: the stream is complete if no partial event is left.
-func (s *relay) finish(a *attempt, split *eventsplit.Splitter) (done bool, p *ask.Problem) {
+func (s *relay) finish(a *attempt, split *sse.Splitter) (done bool, p *request.Problem) {
 	x := s.x
-	if split.Partial() {
+	if split.HasPartialEvent() {
 		x.finishAttempt(a, dispatch.Broken)
-		return false, ask.Unknown(ask.Broken)
+		return false, request.Unknown(request.Broken)
 	}
 	s.writeHeader(a)
 	x.finishAttempt(a, dispatch.Served)
@@ -175,12 +175,12 @@
 // writeEvents writes the events that the bytes complete. Events that the client already has are skipped, because an
 // endpoint that continues the stream of another may start too early. It returns false if an event is too large or the
 // client cannot be written to.
-func (s *relay) writeEvents(a *attempt, split *eventsplit.Splitter, p []byte) (ok bool) {
-	events, ok := split.Write(p)
+func (s *relay) writeEvents(a *attempt, split *sse.Splitter, p []byte) (ok bool) {
+	events, ok := split.Feed(p)
 	if !ok {
 		return false
 	}
-	a.Progress(time.Now())
+	a.RecordProgress(time.Now())
 	wrote := false
 	for _, e := range events {
 		if e.HasID && s.hasLast && e.ID <= s.lastID {
--- a/io/entry/testserver_test.go
+++ b/io/entry/testserver_test.go
@@ -16,13 +16,13 @@
 	"github.com/go-kit/log"
 	"go.opentelemetry.io/otel/trace/noop"
 
-	"savoryfall/core/ask"
 	"savoryfall/core/background"
 	"savoryfall/core/directory"
 	"savoryfall/core/dispatch"
 	"savoryfall/core/freshness"
 	"savoryfall/core/outcome"
-	"savoryfall/core/retryshare"
+	"savoryfall/core/request"
+	"savoryfall/core/retrylimit"
 	"savoryfall/core/routetable"
 	"savoryfall/io/http1"
 )
@@ -33,7 +33,7 @@
 	server   *Server
 	logLines logLines
 	lease    freshness.Lease
-	retries  retryshare.Share
+	retries  retrylimit.Limiter
 	table    atomic.Pointer[routetable.Table]
 	conns    chan net.Conn
 	closed   chan struct{}
@@ -78,11 +78,11 @@
 
 // bookingTable returns a configuration with one route whose requests must not be repeated.
 func bookingTable(limits routetable.Limits) *routetable.Table {
-	return routetable.New(routetable.Contents{
+	return routetable.New(routetable.Config{
 		Version: 1, Services: []routetable.Service{{Name: "plain"}}, Limits: limits,
 		Routes: []routetable.Route{{
 			Name: "book", Host: "shop.example", PathPrefix: "/book/", Kind: routetable.NonIdempotent, MaxAttempts: 1,
-			Targets: []routetable.Target{{Service: "plain", Weight: 1}}, Timeout: 3 * time.Second, Goal: 100 * time.Millisecond,
+			Targets: []routetable.Target{{Service: "plain", Weight: 1}}, Timeout: 3 * time.Second, ResponseGoal: 100 * time.Millisecond,
 		}},
 	})
 }
@@ -91,18 +91,18 @@
 	s := &testServer{conns: make(chan net.Conn), closed: make(chan struct{}), began: time.Now()}
 	table := bookingTable(limits)
 	s.table.Store(table)
-	s.retries.SetLimits(retryshare.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Routers: 1})
+	s.retries.SetLimits(retrylimit.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Routers: 1})
 	s.lease.SetTerm(time.Hour)
 	s.lease.Renew(s.clock())
 	d := dispatch.New("a")
 	d.Configure(table)
 	d.Update([]directory.Entry{{ID: "e1", Service: "plain", Address: "e1:1", FailureDomain: "a", Slots: 8}}, time.Now())
-	f := New(Parts{
-		Clients: clientProtocol{}, Endpoints: endpointProtocol{}, Configuration: s, Lease: &s.lease, Dispatcher: d, Retries: &s.retries,
-		Pool: http1.NewPool(s.dial), Tracer: noop.NewTracerProvider().Tracer(""), Figures: NewFigures(metrics.NewSet()),
+	f := New(Config{
+		ClientProtocol: clientProtocol{}, EndpointProtocol: endpointProtocol{}, Configuration: s, Lease: &s.lease, Dispatcher: d, Retries: &s.retries,
+		Pool: http1.NewPool(s.dial), Tracer: noop.NewTracerProvider().Tracer(""), Metrics: NewMetrics(metrics.NewSet()),
 		Logger: log.Logger(&s.logLines), Clock: s.clock,
 	})
-	s.server = NewServerOn(s, f)
+	s.server = NewServerWithListener(s, f)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.server.cancel = cancel
 	s.server.running.Go(func() { background.Every(ctx, sweepPeriod, s.server.sweep) })
@@ -120,17 +120,17 @@
 
 type clientProtocol struct{}
 
-func (clientProtocol) Decode(r *http.Request) (a ask.Ask, err error) {
-	return ask.Ask{
-		ID: r.Header.Get(headerID), Host: r.Host, Path: r.URL.Path, Target: r.RequestURI, Method: r.Method, Patience: clientTimeout,
+func (clientProtocol) Decode(r *http.Request) (a request.Request, err error) {
+	return request.Request{
+		ID: r.Header.Get(headerID), Host: r.Host, Path: r.URL.Path, Target: r.RequestURI, Method: r.Method, Timeout: clientTimeout,
 	}, nil
 }
 
-func (clientProtocol) Refuse(p *ask.Problem, _ http.Header) (status int) {
+func (clientProtocol) EncodeRefusal(p *request.Problem, _ http.Header) (status int) {
 	switch {
 	case p.Outcome != outcome.NotRun:
 		return http.StatusBadGateway
-	case p.Reason == ask.BodySlow:
+	case p.Reason == request.BodySlow:
 		return http.StatusRequestTimeout
 	}
 	return http.StatusServiceUnavailable
@@ -138,12 +138,14 @@
 
 type endpointProtocol struct{}
 
-func (endpointProtocol) Encode(client http.Header, _ ask.Sending) http.Header { return client }
+func (endpointProtocol) Encode(client http.Header, _ request.EndpointRequest) http.Header {
+	return client
+}
 
-func (endpointProtocol) Answers(h http.Header, id string) bool { return h.Get(headerID) == id }
+func (endpointProtocol) MatchesRequest(h http.Header, id string) bool { return h.Get(headerID) == id }
 
-func (endpointProtocol) Decode(_ int, h http.Header) ask.Reply {
-	return ask.Reply{Signed: h.Get(headerSigned) != ""}
+func (endpointProtocol) Decode(_ int, h http.Header) request.EndpointResponse {
+	return request.EndpointResponse{FromEndpoint: h.Get(headerSigned) != ""}
 }
 
 // shutdown stops the server and waits for the goroutines of the endpoint, which must end before the bubble does.
--- a/io/entry/watch.go
+++ b/io/entry/watch.go
@@ -75,6 +75,6 @@
 	if w.receiving.Load() {
 		wait = maxEventSilence
 	}
-	prefill := time.Duration(w.attempt.ToRead(now)/slowPrefillTokensPerMs) * time.Millisecond
+	prefill := time.Duration(w.attempt.UnreadPromptTokens(now)/slowPrefillTokensPerMs) * time.Millisecond
 	return min(wait+prefill, maxSilence)
 }
--- a/io/fleet/answers_test.go
+++ b/io/fleet/answers_test.go
@@ -23,7 +23,7 @@
 
 func startFleetWithLimits(t *testing.T, engines, services int, limits string) *fleet.Fleet {
 	t.Helper()
-	return start(t, fleet.Options{Routers: 1, Engines: engines, Services: services, Extra: map[string]string{
+	return start(t, fleet.Options{Routers: 1, Engines: engines, Services: services, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n", "limits": limits,
 	}})
 }
@@ -60,11 +60,11 @@
 }
 
 func post(ctx context.Context, f *fleet.Fleet, path, body string) (resp *http.Response, err error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Routers()[0].Callers()+path, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Routers()[0].CallerAddress()+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set("Authorization", "Bearer "+fleet.Key("guardia"))
+	r.Header.Set("Authorization", "Bearer "+fleet.APIKey("guardia"))
 	return http.DefaultClient.Do(r)
 }
 
--- a/io/fleet/bodies_test.go
+++ b/io/fleet/bodies_test.go
@@ -19,7 +19,7 @@
 // startBodyFleet starts a fleet whose router gives clients bodyTimeout to send a body.
 func startBodyFleet(t *testing.T, bodyTimeout time.Duration) *fleet.Fleet {
 	t.Helper()
-	return start(t, fleet.Options{Routers: 1, Engines: 1, Services: 1, Extra: map[string]string{
+	return start(t, fleet.Options{Routers: 1, Engines: 1, Services: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "routing": "probePeriod = \"200ms\"\n",
 		"callers": fmt.Sprintf("lameDuck = \"0s\"\nbodyTimeout = %q\nmaxBodyBytes = 33554432\n", bodyTimeout),
 	}})
@@ -72,7 +72,7 @@
 
 func connect(t *testing.T, f *fleet.Fleet) *clientConn {
 	t.Helper()
-	c, err := net.Dial("tcp", f.Routers()[0].Callers())
+	c, err := net.Dial("tcp", f.Routers()[0].CallerAddress())
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
 	return &clientConn{c, bufio.NewReader(c)}
@@ -147,7 +147,7 @@
 	f := startBodyFleet(t, 5*time.Second)
 	const length = "Host: x\r\nContent-Length: 100\r\n\r\n{"
 	invalidKey := "Authorization: Bearer wrong\r\n" + length
-	validKey := "Authorization: Bearer " + fleet.Key("guardia") + "\r\n" + length
+	validKey := "Authorization: Bearer " + fleet.APIKey("guardia") + "\r\n" + length
 	for _, tc := range []struct {
 		line, rest string
 		status     int
--- a/io/fleet/claims_test.go
+++ b/io/fleet/claims_test.go
@@ -30,10 +30,10 @@
 func callNonIdempotent(t *testing.T, f *fleet.Fleet, router int, key, body string, extra ...string) response {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost,
-		"http://"+f.Routers()[router].Callers()+fleet.NonIdempotentPath, strings.NewReader(body))
+		"http://"+f.Routers()[router].CallerAddress()+fleet.NonIdempotentPath, strings.NewReader(body))
 	assert.NilError(t, err)
-	r.Header.Set("Authorization", "Bearer "+fleet.Key("guardia"))
-	r.Header.Set(header.Idempotency, key)
+	r.Header.Set("Authorization", "Bearer "+fleet.APIKey("guardia"))
+	r.Header.Set(header.IdempotencyKey, key)
 	for i := 0; i+1 < len(extra); i += 2 {
 		r.Header.Set(extra[i], extra[i+1])
 	}
@@ -59,7 +59,7 @@
 
 func startPartitionedFleet(t *testing.T, routers, partitions int) *fleet.Fleet {
 	t.Helper()
-	return start(t, fleet.Options{Routers: routers, Services: 2, Extra: map[string]string{
+	return start(t, fleet.Options{Routers: routers, Services: 2, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n", "claims": "term = \"2s\"\npartitions = " + fmt.Sprint(partitions) + "\n",
 	}})
 }
@@ -136,9 +136,9 @@
 	}
 	callResult := make(chan error, 1)
 	go func() {
-		r, _ := http.NewRequest(http.MethodPost, "http://"+f.Routers()[0].Callers()+fleet.NonIdempotentPath, strings.NewReader("permit"))
-		r.Header.Set("Authorization", "Bearer "+fleet.Key("guardia"))
-		r.Header.Set(header.Idempotency, "k")
+		r, _ := http.NewRequest(http.MethodPost, "http://"+f.Routers()[0].CallerAddress()+fleet.NonIdempotentPath, strings.NewReader("permit"))
+		r.Header.Set("Authorization", "Bearer "+fleet.APIKey("guardia"))
+		r.Header.Set(header.IdempotencyKey, "k")
 		resp, err := http.DefaultClient.Do(r)
 		if err == nil {
 			err = resp.Body.Close()
--- a/io/fleet/clients_test.go
+++ b/io/fleet/clients_test.go
@@ -20,7 +20,7 @@
 
 func startStrictFleet(t *testing.T) *fleet.Fleet {
 	t.Helper()
-	return start(t, fleet.Options{Routers: 1, Engines: 2, Services: 1, Extra: map[string]string{
+	return start(t, fleet.Options{Routers: 1, Engines: 2, Services: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": strictCallers, "routing": "probePeriod = \"200ms\"\n",
 	}})
 }
@@ -28,7 +28,7 @@
 // rawRequest writes text to the router's client port and returns the status line of the response.
 func rawRequest(t *testing.T, f *fleet.Fleet, text string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", f.Routers()[0].Callers())
+	c, err := net.Dial("tcp", f.Routers()[0].CallerAddress())
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	_, _ = io.WriteString(c, text)
@@ -37,7 +37,7 @@
 }
 
 func requestHead(path string, length int) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n", path, fleet.Key("guardia"), length)
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n", path, fleet.APIKey("guardia"), length)
 }
 
 // Malformed, oversized and slow requests get the matching error status, and the router still serves the next request.
@@ -96,7 +96,7 @@
 func sendAndClose(t *testing.T, f *fleet.Fleet, text string, readBytes int) {
 	t.Helper()
 	var d net.Dialer
-	c, err := d.DialContext(context.Background(), "tcp", f.Routers()[0].Callers())
+	c, err := d.DialContext(context.Background(), "tcp", f.Routers()[0].CallerAddress())
 	assert.NilError(t, err)
 	_, err = io.WriteString(c, text)
 	assert.NilError(t, err)
--- a/io/fleet/configuration_test.go
+++ b/io/fleet/configuration_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/inforce"
+	"savoryfall/core/activeconfig"
 	"savoryfall/io/configuration"
 	"savoryfall/io/fleet"
 	"savoryfall/io/operator"
@@ -20,7 +20,7 @@
 
 func status(t *testing.T, r *router.Router) (s operator.Status) {
 	t.Helper()
-	resp, err := http.Get("http://" + r.Operators() + "/status")
+	resp, err := http.Get("http://" + r.OperatorAddress() + "/status")
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	assert.NilError(t, json.NewDecoder(resp.Body).Decode(&s))
@@ -90,7 +90,7 @@
 // All routers are lost at once and replaced by new VMs, and the first notes are trimmed from the log. The new routers recover
 // the configuration from the snapshot that the lost ones wrote and the records after it. A key that ran does not run again.
 func TestReplaceAllRouters(t *testing.T) {
-	f := start(t, fleet.Options{Routers: 3, Engines: 1, Services: 1, Extra: map[string]string{
+	f := start(t, fleet.Options{Routers: 3, Engines: 1, Services: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 		"platform": "retention = \"2s\"\nvmListPeriod = \"200ms\"\n",
 	}})
@@ -114,7 +114,7 @@
 
 func hasSnapshot(f *fleet.Fleet) bool {
 	for _, data := range f.Log.Records(configuration.Stream) {
-		if inforce.IsSnapshot(data) {
+		if activeconfig.IsSnapshotPart(data) {
 			return true
 		}
 	}
@@ -128,7 +128,7 @@
 	f.KillRouter(f.Routers()[0])
 	r, err := f.AddRouter(t.Context())
 	assert.NilError(t, err)
-	resp, err := http.Get("http://" + r.Callers() + "/readyz")
+	resp, err := http.Get("http://" + r.CallerAddress() + "/readyz")
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
--- a/io/fleet/fleet.go
+++ b/io/fleet/fleet.go
@@ -12,8 +12,8 @@
 	"github.com/go-kit/log"
 
 	"savoryfall/core/account"
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/annotate"
-	"savoryfall/core/inforce"
 	"savoryfall/core/settings"
 	"savoryfall/io/configuration"
 	"savoryfall/io/httpserver"
@@ -37,8 +37,8 @@
 	// AccountWeights holds the weight of each account, in the order of Accounts; if empty, all are equal.
 	AccountWeights []float64
 	Engine         engine.Options
-	// Extra holds TOML that is appended to a section of each router's settings, by section name.
-	Extra           map[string]string
+	// ExtraSettings holds TOML that is appended to a section of each router's settings, by section name.
+	ExtraSettings   map[string]string
 	Log             *logservice.Service
 	SkipReleaseNote bool
 }
@@ -75,8 +75,8 @@
 	weightStoreRate   = 100
 )
 
-// Key returns the bearer key of an account.
-func Key(accountName string) string { return keyPrefix + accountName }
+// APIKey returns the bearer key of an account.
+func APIKey(accountName string) string { return keyPrefix + accountName }
 
 // New returns a fleet that is not started.
 func New(o Options, logger log.Logger) *Fleet {
@@ -167,7 +167,7 @@
 
 // Publish appends a release note to the configuration stream.
 func (f *Fleet) Publish(_ context.Context, text string) {
-	f.Log.Append(configuration.Stream, inforce.NoteRecord(text))
+	f.Log.Append(configuration.Stream, activeconfig.NoteRecord(text))
 }
 
 // ReleaseNote returns a release note that adds all models, accounts, services and endpoints of the fleet.
@@ -177,7 +177,7 @@
 		text += fmt.Sprintf("\n[[added.models]]\nname = %q\n", m)
 	}
 	for i, a := range f.opts.Accounts {
-		text += fmt.Sprintf("\n[[added.accounts]]\nname = %q\nkeyDigest = %q\n", a, account.Digest(Key(a)))
+		text += fmt.Sprintf("\n[[added.accounts]]\nname = %q\nkeyDigest = %q\n", a, account.DigestKey(APIKey(a)))
 		if i < len(f.opts.AccountWeights) {
 			text += fmt.Sprintf("weight = %.4f\n", f.opts.AccountWeights[i])
 		}
@@ -231,7 +231,7 @@
 		return nil, err
 	}
 	f.VMList.Put(vmlist.VM{
-		Name: s.VM().Name(), Address: r.Peers(), FailureDomain: s.VM().FailureDomain(), Role: vmlist.RoleRouter,
+		Name: s.VM().Name(), Address: r.PeerAddress(), FailureDomain: s.VM().FailureDomain(), Role: vmlist.RoleRouter,
 	})
 	f.mu.Lock()
 	f.routers = append(f.routers, r)
@@ -240,15 +240,15 @@
 }
 
 func (f *Fleet) settings(n int) (text string) {
-	text = fmt.Sprintf("[vm]\nname = \"entry-%d\"\nfailureDomain = %q\n%s", n, f.domainAt(n-1), f.opts.Extra["vm"])
+	text = fmt.Sprintf("[vm]\nname = \"entry-%d\"\nfailureDomain = %q\n%s", n, f.domainAt(n-1), f.opts.ExtraSettings["vm"])
 	for _, section := range []string{"callers", "operators", "peers"} {
-		text += fmt.Sprintf("\n[%s]\naddress = %q\n%s", section, loopback, f.opts.Extra[section])
+		text += fmt.Sprintf("\n[%s]\naddress = %q\n%s", section, loopback, f.opts.ExtraSettings[section])
 	}
 	text += fmt.Sprintf("\n[platform]\nlog = \"http://%s\"\nvmList = \"http://%s\"\nweightStore = \"http://%s\"\n%s",
-		f.Address("log"), f.Address("vms"), f.Address("weights"), f.opts.Extra["platform"])
-	text += fmt.Sprintf("\n[routing]\nticketKeyFile = %q\n%s", f.ticketKeyFile(), f.opts.Extra["routing"])
+		f.Address("log"), f.Address("vms"), f.Address("weights"), f.opts.ExtraSettings["platform"])
+	text += fmt.Sprintf("\n[routing]\nticketKeyFile = %q\n%s", f.ticketKeyFile(), f.opts.ExtraSettings["routing"])
 	for _, section := range []string{"limits", "claims", "orders", "traces"} {
-		text += fmt.Sprintf("\n[%s]\n%s", section, f.opts.Extra[section])
+		text += fmt.Sprintf("\n[%s]\n%s", section, f.opts.ExtraSettings[section])
 	}
 	return text
 }
--- a/io/fleet/fleet_test.go
+++ b/io/fleet/fleet_test.go
@@ -19,8 +19,8 @@
 
 func start(t *testing.T, o fleet.Options) *fleet.Fleet {
 	t.Helper()
-	if o.Extra == nil {
-		o.Extra = map[string]string{"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n"}
+	if o.ExtraSettings == nil {
+		o.ExtraSettings = map[string]string{"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n"}
 	}
 	o.Engine.Step = 2 * time.Millisecond
 	f := fleet.New(o, log.NewNopLogger())
@@ -37,8 +37,8 @@
 
 func client(f *fleet.Fleet, router int) openai.Client {
 	return openai.NewClient(
-		option.WithBaseURL("http://"+f.Routers()[router].Callers()+"/v1"),
-		option.WithAPIKey(fleet.Key("guardia")), option.WithMaxRetries(0),
+		option.WithBaseURL("http://"+f.Routers()[router].CallerAddress()+"/v1"),
+		option.WithAPIKey(fleet.APIKey("guardia")), option.WithMaxRetries(0),
 	)
 }
 
--- a/io/fleet/leaving_test.go
+++ b/io/fleet/leaving_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+path, strings.NewReader(body))
 	assert.NilError(t, err)
-	r.Header.Set("Authorization", "Bearer "+fleet.Key("guardia"))
+	r.Header.Set("Authorization", "Bearer "+fleet.APIKey("guardia"))
 	for i := 0; i < len(extra); i += 2 {
 		r.Header.Set(extra[i], extra[i+1])
 	}
@@ -36,11 +36,11 @@
 // keep-alive connections were still sending requests when the server closed them. Every response must carry it, including those
 // to requests that arrived before the stop.
 func TestDrainingRouterClosesClientConnections(t *testing.T) {
-	f := start(t, fleet.Options{Routers: 2, Engines: 1, Services: 1, Extra: map[string]string{
+	f := start(t, fleet.Options{Routers: 2, Engines: 1, Services: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"2s\"\n", "routing": "probePeriod = \"200ms\"\n",
 	}})
 	leaving := f.Routers()[0]
-	address := leaving.Callers()
+	address := leaving.CallerAddress()
 	assert.Assert(t, !call(t, address, http.MethodGet, "/v1/models", "").Close, "before the stop")
 	for _, s := range f.Services() {
 		s.Set(plainservice.Faults{LateMs: 500})
@@ -64,7 +64,7 @@
 		{"completion", http.MethodPost, completionsPath, `{"model":"sur-large","messages":[{"role":"user","content":"a #3"}]}`, nil, http.StatusOK},
 		{"stream", http.MethodPost, completionsPath, `{"model":"sur-large","stream":true,"messages":[{"role":"user","content":"a #3"}]}`, nil, http.StatusOK},
 		{"service", http.MethodPost, "/permits/1", "x", nil, http.StatusOK},
-		{"claimed call", http.MethodPost, fleet.NonIdempotentPath, "x", []string{header.Idempotency, "k", header.KeyCreated, created}, http.StatusOK},
+		{"claimed call", http.MethodPost, fleet.NonIdempotentPath, "x", []string{header.IdempotencyKey, "k", header.KeyCreated, created}, http.StatusOK},
 		{"refusal", http.MethodPost, "/nowhere", "x", nil, http.StatusNotFound},
 		{"readiness", http.MethodGet, "/readyz", "", nil, http.StatusServiceUnavailable},
 		{"liveness", http.MethodGet, "/healthz", "", nil, http.StatusOK},
@@ -85,7 +85,7 @@
 func TestOperatorConnectionDoesNotDelayStop(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 1})
 	leaving := f.Routers()[0]
-	c, err := net.Dial("tcp", leaving.Operators())
+	c, err := net.Dial("tcp", leaving.OperatorAddress())
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	_, err = io.WriteString(c, "GET /status HTTP/1.1\r\n")
--- a/io/fleet/lifecycle.go
+++ b/io/fleet/lifecycle.go
@@ -72,7 +72,7 @@
 func (f *Fleet) KillEngines(names ...string) {
 	f.mu.Lock()
 	for _, name := range names {
-		f.servers[name].Refuse()
+		f.servers[name].StopAccepting()
 	}
 	f.mu.Unlock()
 	for _, name := range names {
--- a/io/fleet/members_test.go
+++ b/io/fleet/members_test.go
@@ -65,8 +65,8 @@
 	for _, r := range f.Routers() {
 		waitFor(t, "all know each other", func() bool { return len(status(t, r).Members) == 2 })
 	}
-	a.Agent().Cut(func(name string) bool { return name == "entry-2" })
-	b.Agent().Cut(func(name string) bool { return name == "entry-1" })
+	a.PeerAgent().SetPartition(func(name string) bool { return name == "entry-2" })
+	b.PeerAgent().SetPartition(func(name string) bool { return name == "entry-1" })
 	seen := map[string]bool{}
 	for n := 0; n < 40; n++ {
 		seen[memberState(t, a, "entry-2")] = true
@@ -95,7 +95,7 @@
 // The VM list shows an engine's VM as leaving. The mark reaches all routers, and does not apply to the engine that is started
 // in its place, although the list still shows the mark.
 func TestListedMarkAndItsSuccessor(t *testing.T) {
-	f := start(t, fleet.Options{Routers: 2, Engines: 2, Extra: map[string]string{
+	f := start(t, fleet.Options{Routers: 2, Engines: 2, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 		"platform": "vmListPeriod = \"100ms\"\n",
 	}})
@@ -157,7 +157,7 @@
 // An engine hangs as a frozen process does: its connections stay open, but it sends nothing. All requests are answered by the
 // other engine.
 func TestFrozenEngine(t *testing.T) {
-	f := start(t, fleet.Options{Routers: 1, Engines: 2, Extra: map[string]string{
+	f := start(t, fleet.Options{Routers: 1, Engines: 2, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 		"limits": "firstToken = \"300ms\"\nbetweenTokens = \"300ms\"\nretryRatio = 1.0\n",
 	}})
@@ -171,7 +171,7 @@
 // A router is stopped while a long stream runs through it. Its readiness check fails, the stream arrives complete, and the peers
 // report the router as leaving, not dead.
 func TestGracefulStopCompletesStreams(t *testing.T) {
-	f := start(t, fleet.Options{Routers: 3, Engines: 1, Extra: map[string]string{
+	f := start(t, fleet.Options{Routers: 3, Engines: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"300ms\"\n", "routing": "probePeriod = \"200ms\"\n",
 	}})
 	leaving := f.Routers()[0]
@@ -180,7 +180,7 @@
 	stopped := make(chan error)
 	go func() { stopped <- f.StopRouter(t.Context(), leaving) }()
 	waitFor(t, "the router is not ready", func() bool {
-		resp, err := http.Get("http://" + leaving.Callers() + "/readyz")
+		resp, err := http.Get("http://" + leaving.CallerAddress() + "/readyz")
 		if err != nil {
 			return true
 		}
--- a/io/fleet/orders_test.go
+++ b/io/fleet/orders_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	return start(t, fleet.Options{
 		Routers: 3, Engines: 4, Engine: engine.Options{ChecksFence: checksFence},
-		Extra: map[string]string{
+		ExtraSettings: map[string]string{
 			"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 			"orders": "leaseTerm = \"600ms\"\nlongestOrder = \"200ms\"\nperiod = \"100ms\"\nloadsPerSecond = 20\n",
 		},
--- a/io/fleet/recovery_test.go
+++ b/io/fleet/recovery_test.go
@@ -50,7 +50,7 @@
 
 func startBenchFleet(b *testing.B) *fleet.Fleet {
 	b.Helper()
-	f := fleet.New(fleet.Options{Routers: 6, Engines: 4, Services: 1, Extra: map[string]string{"callers": "lameDuck = \"0s\"\n"}},
+	f := fleet.New(fleet.Options{Routers: 6, Engines: 4, Services: 1, ExtraSettings: map[string]string{"callers": "lameDuck = \"0s\"\n"}},
 		log.NewNopLogger())
 	assert.NilError(b, f.Start(b.Context()))
 	waitForAll(b, f, func(s operator.Status) bool { return len(s.Members) == 5 && s.Endpoints[0].Incarnation != "" })
@@ -62,7 +62,7 @@
 	b.Helper()
 	began := time.Now()
 	for _, r := range f.Routers() {
-		for !condition(readStatus(b, r.Operators())) {
+		for !condition(readStatus(b, r.OperatorAddress())) {
 			assert.Assert(b, time.Since(began) < time.Minute)
 			<-time.After(10 * time.Millisecond)
 		}
--- a/io/fleet/tls_test.go
+++ b/io/fleet/tls_test.go
@@ -48,7 +48,7 @@
 func TestTLS(t *testing.T) {
 	cert, key := certificate(t, "fleet")
 	files := fmt.Sprintf("certificate = %q\nkey = %q\n", cert, key)
-	f := start(t, fleet.Options{Routers: 2, Engines: 1, Extra: map[string]string{
+	f := start(t, fleet.Options{Routers: 2, Engines: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers + files + fmt.Sprintf("authority = %q\n", cert), "callers": "lameDuck = \"0s\"\n" + files,
 		"routing": "probePeriod = \"200ms\"\n",
 	}})
@@ -61,7 +61,7 @@
 	assert.Assert(t, pool.AppendCertsFromPEM(pem))
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	defer client.CloseIdleConnections()
-	resp, err := client.Get("https://" + f.Routers()[0].Callers() + "/readyz")
+	resp, err := client.Get("https://" + f.Routers()[0].CallerAddress() + "/readyz")
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
@@ -69,7 +69,7 @@
 	pair, err := tls.LoadX509KeyPair(untrustedCert, untrustedKey)
 	assert.NilError(t, err)
 	for _, certs := range [][]tls.Certificate{nil, {pair}} {
-		c, err := tls.Dial("tcp", f.Routers()[0].Peers(), &tls.Config{RootCAs: pool, Certificates: certs})
+		c, err := tls.Dial("tcp", f.Routers()[0].PeerAddress(), &tls.Config{RootCAs: pool, Certificates: certs})
 		if err == nil {
 			_, err = c.Read(make([]byte, 1))
 			_ = c.Close()
--- a/io/follow/follower.go
+++ b/io/follow/follower.go
@@ -10,22 +10,22 @@
 	"github.com/go-kit/log"
 
 	"savoryfall/core/background"
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/event"
 	"savoryfall/core/field"
-	"savoryfall/core/keyed"
 )
 
 // Topic reads the records of a topic.
 type Topic interface {
-	Newest(ctx context.Context) (p keyed.Page, err error)
-	Since(ctx context.Context, from int64, wait time.Duration) (p keyed.Page, err error)
+	Newest(ctx context.Context) (p compactedlog.Page, err error)
+	Since(ctx context.Context, from int64, wait time.Duration) (p compactedlog.Page, err error)
 }
 
 // Sink receives the records that were read.
 type Sink interface {
 	// Replace receives the newest record of every key, Apply the records written since then.
-	Replace(records []keyed.Record)
-	Apply(records []keyed.Record)
+	Replace(records []compactedlog.Record)
+	Apply(records []compactedlog.Record)
 	// Read reports that a read sent at the given time since boot found nothing newer than the records already
 	// passed on.
 	Read(sent time.Duration)
@@ -37,18 +37,18 @@
 type Options struct {
 	// Name is the name of the topic in logs.
 	Name string
-	// Wait is how long a read at the end of the topic waits for a new record.
-	Wait time.Duration
-	// Pause is the minimum time between two reads, so that a topic that changes many times a second is read in
+	// PollWait is how long a read at the end of the topic waits for a new record.
+	PollWait time.Duration
+	// MinInterval is the minimum time between two reads, so that a topic that changes many times a second is read in
 	// batches.
-	Pause time.Duration
+	MinInterval time.Duration
 	// Grace is how long a router that knows of newer records waits to receive them from the hub before it reads
 	// them itself.
 	Grace time.Duration
-	// Stale is the age at which a router reads the topic itself, if nobody else reads for it.
-	Stale time.Duration
-	// First is how long a starting router without data waits for another router to send it.
-	First time.Duration
+	// MaxAge is the age at which a router reads the topic itself, if nobody else reads for it.
+	MaxAge time.Duration
+	// StartupWait is how long a starting router without data waits for another router to send it.
+	StartupWait time.Duration
 	// Clock returns the time since boot, including time spent suspended.
 	Clock func() time.Duration
 }
@@ -108,13 +108,13 @@
 func (f *Follower) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.startupDeadline = f.options.Clock() + f.options.First
+	f.startupDeadline = f.options.Clock() + f.options.StartupWait
 	f.goroutines.Go(func() { f.run(ctx) })
 	return nil
 }
 
-// Unaided ends the startup wait because no other router can send the contents of the topic.
-func (f *Follower) Unaided() {
+// EndStartupWait ends the startup wait because no other router can send the contents of the topic.
+func (f *Follower) EndStartupWait() {
 	f.mu.Lock()
 	waiting := !f.synced && f.startupDeadline > 0
 	f.startupDeadline = 0
@@ -124,10 +124,10 @@
 	}
 }
 
-// Attend records that the hub has just answered. As long as it does, this router does not read because its data is
+// HubAnswered records that the hub has just answered. As long as it does, this router does not read because its data is
 // old: if the hub cannot read, it assigns a few other routers at a time to try, and reads by hundreds of routers
 // would only make an outage worse.
-func (f *Follower) Attend() {
+func (f *Follower) HubAnswered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hubAnsweredAt = f.options.Clock()
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// Lead sets whether this router reads for others. A leader reads continuously; other routers read only what they
+// SetLeader sets whether this router reads for others. A leader reads continuously; other routers read only what they
 // do not receive from the hub.
-func (f *Follower) Lead(leader bool) {
+func (f *Follower) SetLeader(leader bool) {
 	f.mu.Lock()
 	changed := f.leader != leader
 	f.leader = leader
@@ -154,17 +154,17 @@
 	}
 }
 
-// Known returns the offset up to which the topic is known, and the time of the read that last showed that there
+// Position returns the offset up to which the topic is known, and the time of the read that last showed that there
 // was nothing newer; ok is false if the topic has not been read yet.
-func (f *Follower) Known() (nextOffset int64, sent time.Duration, ok bool) {
+func (f *Follower) Position() (nextOffset int64, sent time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nextOffset, f.confirmedAt, f.synced
 }
 
-// Confirm records that another router found the end of the topic at nextOffset, with a read sent at the given time
+// ConfirmEnd records that another router found the end of the topic at nextOffset, with a read sent at the given time
 // since boot. If this router is behind that offset, it reads the missing records unless it receives them in time.
-func (f *Follower) Confirm(nextOffset int64, sent time.Duration) {
+func (f *Follower) ConfirmEnd(nextOffset int64, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.synced || f.nextOffset < nextOffset {
@@ -178,8 +178,8 @@
 	f.confirmRead(sent)
 }
 
-// Fed records that another router has sent all changes up to nextOffset.
-func (f *Follower) Fed(nextOffset int64, sent time.Duration) {
+// AdvanceTo records that another router has sent all changes up to nextOffset.
+func (f *Follower) AdvanceTo(nextOffset int64, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextOffset, f.synced = max(f.nextOffset, nextOffset), true
@@ -203,7 +203,7 @@
 	for ctx.Err() == nil {
 		idleTime := f.idleTime()
 		if idleTime > 0 {
-			background.Pause(ctx, idleTime, f.wake)
+			background.Sleep(ctx, idleTime, f.wake)
 			continue
 		}
 		began := time.Now()
@@ -214,11 +214,11 @@
 		if err != nil {
 			// The wake channel is not used here: a request for newer records must not shorten the delay after a
 			// failure.
-			background.Pause(ctx, f.recordFailure(err), nil)
+			background.Sleep(ctx, f.recordFailure(err), nil)
 			continue
 		}
 		f.recordSuccess()
-		background.Pause(ctx, f.options.Pause-time.Since(began), f.wake)
+		background.Sleep(ctx, f.options.MinInterval-time.Since(began), f.wake)
 	}
 }
 
@@ -236,7 +236,7 @@
 	if f.behind {
 		return f.behindSince + f.options.Grace - now
 	}
-	return max(f.confirmedAt, f.hubAnsweredAt) + f.options.Stale - now
+	return max(f.confirmedAt, f.hubAnsweredAt) + f.options.MaxAge - now
 }
 
 // readOnce makes one read. If records have been trimmed unread, it starts over from the newest value of each key.
@@ -245,15 +245,15 @@
 	f.mu.Lock()
 	from, synced := f.nextOffset, f.synced
 	f.mu.Unlock()
-	var p keyed.Page
+	var p compactedlog.Page
 	if synced {
 		p, err = f.readSince(ctx, from)
 	} else {
 		p, err = f.readNewest(ctx)
 	}
-	var trimmed keyed.TrimmedError
+	var trimmed compactedlog.TrimmedError
 	if errors.As(err, &trimmed) {
-		_ = f.logger.Log(field.Event, event.RecordsTrimmed, field.Topic, f.options.Name, field.Want, trimmed.Want, field.First, trimmed.First)
+		_ = f.logger.Log(field.Event, event.RecordsTrimmed, field.Topic, f.options.Name, field.Want, trimmed.Requested, field.First, trimmed.First)
 		f.mu.Lock()
 		f.synced = false
 		f.mu.Unlock()
@@ -271,7 +271,7 @@
 
 // applyPage passes a page to the sink, unless this router has received newer records during the read: older
 // records would undo them.
-func (f *Follower) applyPage(p keyed.Page, from int64, synced bool, sent time.Duration) {
+func (f *Follower) applyPage(p compactedlog.Page, from int64, synced bool, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if synced && f.nextOffset != from {
@@ -287,8 +287,8 @@
 	f.confirmRead(sent)
 }
 
-func (f *Follower) readSince(ctx context.Context, from int64) (p keyed.Page, err error) {
-	wait := f.options.Wait
+func (f *Follower) readSince(ctx context.Context, from int64) (p compactedlog.Page, err error) {
+	wait := f.options.PollWait
 	if f.failureCount() > 0 || !f.isLeader() {
 		// Do not wait for a new record when the result is needed now: after a failure it shows that the store is
 		// back, and without the hub it shows what is in force.
@@ -305,7 +305,7 @@
 	return f.leader
 }
 
-func (f *Follower) readNewest(ctx context.Context) (p keyed.Page, err error) {
+func (f *Follower) readNewest(ctx context.Context) (p compactedlog.Page, err error) {
 	ctx, cancel := context.WithTimeout(ctx, f.readTimeout())
 	defer cancel()
 	return f.topic.Newest(ctx)
@@ -353,8 +353,8 @@
 	return f.failures
 }
 
-// Wants returns whether there are newer records that this router has not read.
-func (f *Follower) Wants() bool {
+// Behind returns whether there are newer records that this router has not read.
+func (f *Follower) Behind() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.behind || !f.synced
@@ -363,9 +363,9 @@
 // Failing returns whether this router's own reads fail.
 func (f *Follower) Failing() bool { return f.failureCount() > 0 }
 
-// Given applies the newest record of every key, from another router that has read up to nextOffset. The records
+// ApplySnapshot applies the newest record of every key, from another router that has read up to nextOffset. The records
 // are ignored if this router has read further itself.
-func (f *Follower) Given(records []keyed.Record, nextOffset int64, sent time.Duration) {
+func (f *Follower) ApplySnapshot(records []compactedlog.Record, nextOffset int64, sent time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.synced || nextOffset >= f.nextOffset {
