--- a/io/follow/follower_test.go
+++ b/io/follow/follower_test.go
@@ -11,14 +11,14 @@
 	"github.com/go-kit/log"
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/keyed"
+	"savoryfall/core/compactedlog"
 	"savoryfall/io/follow"
 )
 
 // fakeTopic is a topic whose records can be added and whose reads can be made to fail or hang.
 type fakeTopic struct {
 	mu          sync.Mutex
-	records     []keyed.Record
+	records     []compactedlog.Record
 	fail        error
 	hang        bool
 	reads       int
@@ -34,7 +34,7 @@
 func (t *fakeTopic) addRecord(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.records = append(t.records, keyed.Record{Key: key, Offset: int64(len(t.records))})
+	t.records = append(t.records, compactedlog.Record{Key: key, Offset: int64(len(t.records))})
 	close(t.appended)
 	t.appended = make(chan struct{})
 }
@@ -52,14 +52,14 @@
 	return reads
 }
 
-func (t *fakeTopic) Newest(ctx context.Context) (p keyed.Page, err error) {
+func (t *fakeTopic) Newest(ctx context.Context) (p compactedlog.Page, err error) {
 	t.mu.Lock()
 	t.newestReads++
 	t.mu.Unlock()
 	return t.Since(ctx, 0, 0)
 }
 
-func (t *fakeTopic) Since(ctx context.Context, from int64, wait time.Duration) (p keyed.Page, err error) {
+func (t *fakeTopic) Since(ctx context.Context, from int64, wait time.Duration) (p compactedlog.Page, err error) {
 	t.mu.Lock()
 	t.reads++
 	fail, hang, appended := t.fail, t.hang, t.appended
@@ -83,7 +83,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	from = min(from, int64(len(t.records)))
-	return keyed.Page{Records: t.records[from:], Next: int64(len(t.records))}, nil
+	return compactedlog.Page{Records: t.records[from:], Next: int64(len(t.records))}, nil
 }
 
 type fakeSink struct {
@@ -93,14 +93,14 @@
 	failures    int
 }
 
-func (s *fakeSink) Replace(records []keyed.Record) {
+func (s *fakeSink) Replace(records []compactedlog.Record) {
 	s.mu.Lock()
 	s.keys = ""
 	s.mu.Unlock()
 	s.Apply(records)
 }
 
-func (s *fakeSink) Apply(records []keyed.Record) {
+func (s *fakeSink) Apply(records []compactedlog.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range records {
@@ -144,8 +144,8 @@
 		tp, s := newFakeTopic(), &fakeSink{}
 		tp.addRecord("a")
 		f := follow.New(tp, s, follow.Options{
-			Name: "t", Wait: 500 * time.Millisecond, Pause: 50 * time.Millisecond, Grace: grace, Stale: 1500 * time.Millisecond,
-			First: first, Clock: now,
+			Name: "t", PollWait: 500 * time.Millisecond, MinInterval: 50 * time.Millisecond, Grace: grace, MaxAge: 1500 * time.Millisecond,
+			StartupWait: first, Clock: now,
 		}, log.NewNopLogger())
 		assert.NilError(t, f.Start(context.Background()))
 		test(f, tp, s, now)
@@ -156,7 +156,7 @@
 // A leader has a record as soon as it is written, and its reads keep its data no older than a second.
 func TestLeaderReadsImmediately(t *testing.T) {
 	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
-		f.Lead(true)
+		f.SetLeader(true)
 		time.Sleep(700 * time.Millisecond)
 		tp.addRecord("b")
 		synctest.Wait()
@@ -176,7 +176,7 @@
 		tp.takeReadCount()
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
-			f.Confirm(1, now()-500*time.Millisecond)
+			f.ConfirmEnd(1, now()-500*time.Millisecond)
 		}
 		assert.Equal(t, tp.takeReadCount(), 0)
 		tp.addRecord("b")
@@ -194,7 +194,7 @@
 		tp.addRecord("b")
 		for range 8 {
 			assert.Equal(t, s.allKeys(), "a")
-			f.Confirm(2, now())
+			f.ConfirmEnd(2, now())
 			assert.Assert(t, s.age(now()) > 0)
 			time.Sleep(grace / 8)
 		}
@@ -210,11 +210,11 @@
 		time.Sleep(10 * time.Millisecond)
 		tp.addRecord("b")
 		tp.takeReadCount()
-		f.Confirm(2, now())
-		assert.Assert(t, f.Wants())
+		f.ConfirmEnd(2, now())
+		assert.Assert(t, f.Behind())
 		assert.Assert(t, !f.Failing())
 		time.Sleep(grace / 2)
-		f.Given([]keyed.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
+		f.ApplySnapshot([]compactedlog.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
 		time.Sleep(grace)
 		assert.Equal(t, tp.takeReadCount(), 0)
 		assert.Equal(t, s.allKeys(), "ab")
@@ -225,8 +225,8 @@
 func TestOlderSnapshotIsIgnored(t *testing.T) {
 	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
-		f.Given([]keyed.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
-		f.Given([]keyed.Record{{Key: "a"}}, 1, now())
+		f.ApplySnapshot([]compactedlog.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
+		f.ApplySnapshot([]compactedlog.Record{{Key: "a"}}, 1, now())
 		assert.Equal(t, s.allKeys(), "ab")
 	})
 }
@@ -242,13 +242,13 @@
 		tp.takeReadCount()
 		for range 900 {
 			time.Sleep(10 * time.Millisecond)
-			f.Confirm(2, now())
+			f.ConfirmEnd(2, now())
 		}
 		assert.Assert(t, tp.takeReadCount() < 20)
 		assert.Assert(t, s.age(now()) > 8*time.Second)
-		assert.Assert(t, f.Wants())
-		f.Given([]keyed.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
-		assert.Assert(t, !f.Wants())
+		assert.Assert(t, f.Behind())
+		f.ApplySnapshot([]compactedlog.Record{{Key: "a"}, {Key: "b", Offset: 1}}, 2, now())
+		assert.Assert(t, !f.Behind())
 		assert.Equal(t, s.allKeys(), "ab")
 		assert.Assert(t, s.age(now()) == 0)
 	})
@@ -257,13 +257,13 @@
 // A read that was in progress when the hub sent later changes must not undo them.
 func TestSupersededReadIsDropped(t *testing.T) {
 	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
-		f.Lead(true)
+		f.SetLeader(true)
 		time.Sleep(10 * time.Millisecond)
-		f.Fed(5, now())
+		f.AdvanceTo(5, now())
 		tp.addRecord("b")
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, s.allKeys(), "a")
-		next, _, ok := f.Known()
+		next, _, ok := f.Position()
 		assert.Assert(t, ok && next >= 5)
 	})
 }
@@ -271,7 +271,7 @@
 // A read that is never answered times out.
 func TestUnansweredReadTimesOut(t *testing.T) {
 	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, _ func() time.Duration) {
-		f.Lead(true)
+		f.SetLeader(true)
 		time.Sleep(10 * time.Millisecond)
 		tp.setFailure(nil, true)
 		time.Sleep(5 * time.Second)
@@ -286,10 +286,10 @@
 // After unread records have been trimmed, the follower must read the newest value of each key.
 func TestTrimmedTopicIsReadFromNewestValues(t *testing.T) {
 	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, _ func() time.Duration) {
-		f.Lead(true)
+		f.SetLeader(true)
 		time.Sleep(10 * time.Millisecond)
 		tp.addRecord("b")
-		tp.setFailure(keyed.TrimmedError{Want: 1, First: 2}, false)
+		tp.setFailure(compactedlog.TrimmedError{Requested: 1, First: 2}, false)
 		time.Sleep(600 * time.Millisecond)
 		tp.setFailure(nil, false)
 		time.Sleep(time.Second)
@@ -312,7 +312,7 @@
 		time.Sleep(10 * time.Millisecond)
 		tp.takeReadCount()
 		for range 30 {
-			f.Attend()
+			f.HubAnswered()
 			time.Sleep(300 * time.Millisecond)
 		}
 		assert.Equal(t, tp.takeReadCount(), 0)
@@ -328,14 +328,14 @@
 	withStartupWait(t, first, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(time.Second)
 		assert.Equal(t, tp.takeReadCount(), 0)
-		f.Given([]keyed.Record{{Key: "given"}}, 1, now())
-		f.Unaided()
+		f.ApplySnapshot([]compactedlog.Record{{Key: "given"}}, 1, now())
+		f.EndStartupWait()
 		time.Sleep(time.Second)
 		assert.Equal(t, tp.takeReadCount(), 0)
 		assert.Equal(t, s.allKeys(), "given")
 	})
 	withStartupWait(t, first, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, _ func() time.Duration) {
-		f.Unaided()
+		f.EndStartupWait()
 		time.Sleep(time.Millisecond)
 		assert.Equal(t, s.allKeys(), "a")
 	})
--- a/io/follow/sinks.go
+++ b/io/follow/sinks.go
@@ -3,21 +3,21 @@
 import (
 	"time"
 
-	"savoryfall/core/keyed"
+	"savoryfall/core/compactedlog"
 )
 
 // Sinks passes everything that is read of a topic to several sinks, in order.
 type Sinks []Sink
 
 // Replace passes on the newest record of every key.
-func (s Sinks) Replace(records []keyed.Record) {
+func (s Sinks) Replace(records []compactedlog.Record) {
 	for _, sink := range s {
 		sink.Replace(records)
 	}
 }
 
 // Apply passes on the records written since then.
-func (s Sinks) Apply(records []keyed.Record) {
+func (s Sinks) Apply(records []compactedlog.Record) {
 	for _, sink := range s {
 		sink.Apply(records)
 	}
--- a/io/http1/pool.go
+++ b/io/http1/pool.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// Dials returns the number of connections opened.
-func (p *Pool) Dials() uint64 {
+// ConnectionsOpened returns the number of connections opened.
+func (p *Pool) ConnectionsOpened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
--- a/io/httpserver/server.go
+++ b/io/httpserver/server.go
@@ -26,12 +26,12 @@
 
 // Options limit what a client may do. A zero field selects the default of net/http.
 type Options struct {
-	MaxHeader     int
-	HeaderTimeout time.Duration
-	TLS           *tls.Config
-	// StopWithin limits the duration of Stop if its context is shared with more important servers; 0 means no limit.
+	MaxHeaderBytes int
+	HeaderTimeout  time.Duration
+	TLS            *tls.Config
+	// StopTimeout limits the duration of Stop if its context is shared with more important servers; 0 means no limit.
 	// Closing connections at this limit is not reported as an error of Stop.
-	StopWithin time.Duration
+	StopTimeout time.Duration
 }
 
 const (
@@ -50,9 +50,9 @@
 		return nil, err
 	}
 	s = &Server{options: o, cancel: func() {}}
-	s.http = &http.Server{Handler: s.closeWhenStopping(handler), MaxHeaderBytes: o.MaxHeader}
+	s.http = &http.Server{Handler: s.closeWhenStopping(handler), MaxHeaderBytes: o.MaxHeaderBytes}
 	s.conns = clientconn.New(l, func() clientconn.Limits {
-		return clientconn.Limits{Idle: idleTimeout, Header: o.HeaderTimeout}
+		return clientconn.Limits{Idle: idleTimeout, HeaderTimeout: o.HeaderTimeout}
 	})
 	s.conns.Attach(s.http)
 	return s, nil
@@ -113,24 +113,24 @@
 }
 
 func (s *Server) drain(ctx context.Context) (err error) {
-	if s.options.StopWithin == 0 {
+	if s.options.StopTimeout == 0 {
 		return s.conns.Stop(ctx)
 	}
-	within, cancel := context.WithTimeout(ctx, s.options.StopWithin)
+	within, cancel := context.WithTimeout(ctx, s.options.StopTimeout)
 	defer cancel()
 	_ = s.conns.Stop(within)
 	return ctx.Err()
 }
 
-// Refuse accepts no new connections from now on. Existing connections stay open.
-func (s *Server) Refuse() {
+// StopAccepting accepts no new connections from now on. Existing connections stay open.
+func (s *Server) StopAccepting() {
 	s.stopped.Store(true)
 	_ = s.conns.Close()
 }
 
 // Kill closes everything at once, as if the VM were lost.
 func (s *Server) Kill() {
-	s.Refuse()
+	s.StopAccepting()
 	s.cancel()
 	_ = s.http.Close()
 }
--- a/io/httpserver/server_test.go
+++ b/io/httpserver/server_test.go
@@ -245,10 +245,10 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// A client that does not finish its header is disconnected when StopWithin has passed, although the context allows
+// A client that does not finish its header is disconnected when StopTimeout has passed, although the context allows
 // more time. That is not an error of Stop.
 func TestStopTimeoutIsNotAnError(t *testing.T) {
-	s := newTestServer(t, Options{StopWithin: 200 * time.Millisecond})
+	s := newTestServer(t, Options{StopTimeout: 200 * time.Millisecond})
 	s.serveHooked()
 	c := s.dial(t)
 	_, _ = io.WriteString(c, testRequest[:30])
--- a/io/hub/agent.go
+++ b/io/hub/agent.go
@@ -12,23 +12,23 @@
 
 	"savoryfall/core/annotate"
 	"savoryfall/core/background"
-	"savoryfall/core/board"
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/event"
 	"savoryfall/core/field"
-	"savoryfall/core/keyed"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/members"
-	"savoryfall/core/rota"
-	"savoryfall/io/meter"
+	"savoryfall/core/readrotation"
+	"savoryfall/io/traffic"
 )
 
 // TopicReader reads one topic of the store, either directly or from what the hub sends.
 type TopicReader interface {
-	Lead(lead bool)
-	Known() (next int64, sent time.Duration, ok bool)
-	Confirm(next int64, sent time.Duration)
-	Fed(next int64, sent time.Duration)
-	Attend()
-	Unaided()
+	SetLeader(lead bool)
+	Position() (next int64, sent time.Duration, ok bool)
+	ConfirmEnd(next int64, sent time.Duration)
+	AdvanceTo(next int64, sent time.Duration)
+	HubAnswered()
+	EndStartupWait()
 	Failing() bool
 }
 
@@ -36,22 +36,22 @@
 // the hub.
 type ConfigurationReader interface {
 	TopicReader
-	Wants() bool
-	Given(records []keyed.Record, next int64, sent time.Duration)
+	Behind() bool
+	ApplySnapshot(records []compactedlog.Record, next int64, sent time.Duration)
 }
 
 // Endpoints holds the registered endpoints that this router knows.
 type Endpoints interface {
-	Changes() *board.Changes
-	Feed(changes []board.Change, whole bool)
+	Changes() *fleetload.ChangeLog
+	ApplyChanges(changes []fleetload.Change, whole bool)
 }
 
 // Loads holds this router's own requests and what it learns of those of other routers.
 type Loads interface {
-	Work(now time.Time) board.Work
-	Placed() []board.Read
-	Others(total, own board.Work, now time.Time)
-	Learn(reads []board.Read)
+	OwnWorkload(now time.Time) fleetload.Workload
+	TakeReads() []fleetload.PrefixRead
+	SetFleetWorkload(total, own fleetload.Workload, now time.Time)
+	RecordReads(reads []fleetload.PrefixRead)
 }
 
 // Network connects routers with each other.
@@ -60,43 +60,43 @@
 	Dial(ctx context.Context, address string) (c net.Conn, err error)
 }
 
-// Parts holds the dependencies and settings of an agent.
-type Parts struct {
+// Config holds the dependencies and settings of an agent.
+type Config struct {
 	Self members.Member
-	// Address is the address to listen on, which may differ from the one that other routers connect to.
-	Address       string
+	// ListenAddress is the address to listen on, which may differ from the one that other routers connect to.
+	ListenAddress string
 	Members       *members.List
 	Configuration ConfigurationReader
 	Registry      TopicReader
-	// Record returns the record that the configuration in force was decoded from.
-	Record func() *keyed.Record
-	// Beside returns the other records of the configuration topic that are in force. It is nil if the topic never has
+	// CurrentRecord returns the record that the configuration in force was decoded from.
+	CurrentRecord func() *compactedlog.Record
+	// OtherRecords returns the other records of the configuration topic that are in force. It is nil if the topic never has
 	// any.
-	Beside    func() []keyed.Record
-	Endpoints Endpoints
-	Loads     Loads
-	Listing   Listing
+	OtherRecords func() []compactedlog.Record
+	Endpoints    Endpoints
+	Loads        Loads
+	RouterList   RouterList
 	// Bootstrap says that the whole fleet is starting for the first time, so the router list must still be empty.
 	Bootstrap bool
 	// Network defaults to TCP.
 	Network Network
-	Meter   *meter.Meter
+	Meter   *traffic.Meter
 	Logger  log.Logger
 	// Clock returns the time since boot, including time suspended.
 	Clock func() time.Duration
-	// Stale is the age from which a hub's reads are too old to use if another router can read the store.
-	Stale time.Duration
-	// Counted is called with the hashes of the names of all known routers.
-	Counted func(routers []uint64)
+	// StaleAfter is the age from which a hub's reads are too old to use if another router can read the store.
+	StaleAfter time.Duration
+	// OnRoutersChanged is called with the hashes of the names of all known routers.
+	OnRoutersChanged func(routers []uint64)
 }
 
 // Agent reports to this router's hub, and serves as the hub of the routers that report to it.
 type Agent struct {
-	Parts
+	Config
 	listener         net.Listener
-	board            board.Board
-	ledger           board.Ledger
-	rota             rota.Rota
+	board            fleetload.Aggregator
+	ledger           fleetload.VersionedTotals
+	readers          readrotation.Rotation
 	compressionCache compressionCache
 	epoch            int64
 	cancel           context.CancelFunc
@@ -116,7 +116,7 @@
 	// hubFailing is set if whoever reads the store for the hub cannot.
 	hubFailing bool
 	// pendingReads and joinedRouters were received here and have not been accepted by a hub yet.
-	pendingReads  []board.Read
+	pendingReads  []fleetload.PrefixRead
 	joinedRouters []members.Member
 
 	// hubState holds what the hub sent last. Only the reporting goroutine uses it.
@@ -126,14 +126,14 @@
 }
 
 // New binds the listen address immediately.
-func New(p Parts) (a *Agent, err error) {
-	defer annotate.Error(&err, "listen for routers on %s", p.Address)
-	a = &Agent{Parts: p, accepted: map[net.Conn]bool{}, newsCh: make(chan struct{}), listLoaded: make(chan struct{}), epoch: newEpoch(p.Self.Name, time.Now())}
+func New(p Config) (a *Agent, err error) {
+	defer annotate.Error(&err, "listen for routers on %s", p.ListenAddress)
+	a = &Agent{Config: p, accepted: map[net.Conn]bool{}, newsCh: make(chan struct{}), listLoaded: make(chan struct{}), epoch: newEpoch(p.Self.Name, time.Now())}
 	if a.Network == nil {
 		a.Network = tcp{}
 	}
 	a.Members.Put(p.Self)
-	a.listener, err = a.Network.Listen(p.Address)
+	a.listener, err = a.Network.Listen(p.ListenAddress)
 	return a, err
 }
 
@@ -190,7 +190,7 @@
 func (a *Agent) run(ctx context.Context) {
 	// Without the list, a router that knows no other would become a root and poll the store although another router
 	// already does so.
-	background.Pause(ctx, listLoadTimeout, a.listLoaded)
+	background.Sleep(ctx, listLoadTimeout, a.listLoaded)
 	unaidedTimer := time.AfterFunc(a.hubWait(), a.stopWaitingForHub)
 	defer unaidedTimer.Stop()
 	for failed := 0; ctx.Err() == nil; {
@@ -207,21 +207,21 @@
 		}
 		if err != nil {
 			a.leaveHub(m, err)
-			a.checkReachable(ctx, a.Members.Next(a.Self.Name, 1<<min(failed, maxChecksLog2)))
-			background.Pause(ctx, hubChangeDelay(failed), nil)
+			a.checkReachable(ctx, a.Members.HubCandidates(a.Self.Name, 1<<min(failed, maxChecksLog2)))
+			background.Sleep(ctx, hubChangeDelay(failed), nil)
 			failed++
 			continue
 		}
 		failed = 0
-		a.Members.Answered(m.Name)
+		a.Members.MarkServed(m.Name)
 		a.setHub(m.Name, a.hubState.askedToRead, a.hubState.failing)
-		background.Pause(ctx, time.Until(started.Add(minReportInterval)), nil)
+		background.Sleep(ctx, time.Until(started.Add(minReportInterval)), nil)
 	}
 }
 
 // leaveHub marks a hub as failed.
 func (a *Agent) leaveHub(m members.Member, err error) {
-	a.Members.Failed(m.Name, time.Now())
+	a.Members.MarkFailed(m.Name, time.Now())
 	a.stopWaitingForHub()
 	_ = a.Logger.Log(field.Event, event.HubLost, field.Hub, m.Name, field.Err, err)
 }
@@ -238,8 +238,8 @@
 
 // stopWaitingForHub lets this router read the topics of which no hub has sent anything yet.
 func (a *Agent) stopWaitingForHub() {
-	a.Configuration.Unaided()
-	a.Registry.Unaided()
+	a.Configuration.EndStartupWait()
+	a.Registry.EndStartupWait()
 }
 
 const (
@@ -268,22 +268,22 @@
 func (a *Agent) runAsRoot(ctx context.Context) {
 	a.setHub(a.Self.Name, true, false)
 	now := time.Now()
-	own := a.Loads.Work(now)
-	newReads := a.Loads.Placed()
-	a.board.Take(a.Self.Name, own, newReads, now)
+	own := a.Loads.OwnWorkload(now)
+	newReads := a.Loads.TakeReads()
+	a.board.AddReport(a.Self.Name, own, newReads, now)
 	total, _ := a.board.Totals(now)
-	a.Loads.Others(total, own, now)
+	a.Loads.SetFleetWorkload(total, own, now)
 	state := a.hubState.forEpoch(a.epoch)
-	var reads []board.Read
+	var reads []fleetload.PrefixRead
 	reads, state.Reads = a.board.ReadsSince(state.Reads)
-	a.Loads.Learn(reads)
+	a.Loads.RecordReads(reads)
 	a.mu.Lock()
 	a.pendingReads, a.joinedRouters = nil, nil
 	a.mu.Unlock()
 	if a.listReadDue(now) {
 		_, _ = a.readList(ctx)
 	}
-	background.Pause(ctx, rootPeriod, nil)
+	background.Sleep(ctx, rootPeriod, nil)
 }
 
 // setHub records which hub this router reports to, whether it reads the store itself, and whether whoever reads for
@@ -298,8 +298,8 @@
 	}
 	a.mu.Unlock()
 	if readingChanged {
-		a.Configuration.Lead(readsStore)
-		a.Registry.Lead(readsStore)
+		a.Configuration.SetLeader(readsStore)
+		a.Registry.SetLeader(readsStore)
 	}
 	if changed || readingChanged {
 		_ = a.Logger.Log(field.Event, event.HubFollowed, field.Hub, hub, field.Self, hub == a.Self.Name, field.Reads, readsStore, field.Routers, a.Members.Len())
@@ -321,8 +321,8 @@
 	return a.readsStore
 }
 
-// Follows returns the name of this router's hub, or its own name if it is the root.
-func (a *Agent) Follows() string {
+// HubName returns the name of this router's hub, or its own name if it is the root.
+func (a *Agent) HubName() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.hubName
--- a/io/hub/agent_test.go
+++ b/io/hub/agent_test.go
@@ -16,12 +16,12 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"savoryfall/core/board"
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/directory"
-	"savoryfall/core/keyed"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/members"
 	"savoryfall/io/hub"
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 var began = time.Now()
@@ -45,30 +45,30 @@
 	givenRecords int
 }
 
-func (f *fakeTopic) Lead(lead bool) {
+func (f *fakeTopic) SetLeader(lead bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lead = lead
 }
 
-func (f *fakeTopic) Known() (next int64, sent time.Duration, ok bool) {
+func (f *fakeTopic) Position() (next int64, sent time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next, clock() - f.age, true
 }
 
-func (f *fakeTopic) Confirm(int64, time.Duration) {}
+func (f *fakeTopic) ConfirmEnd(int64, time.Duration) {}
 
-func (f *fakeTopic) Attend()  {}
-func (f *fakeTopic) Unaided() {}
+func (f *fakeTopic) HubAnswered()    {}
+func (f *fakeTopic) EndStartupWait() {}
 
-func (f *fakeTopic) Fed(next int64, _ time.Duration) {
+func (f *fakeTopic) AdvanceTo(next int64, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = max(f.next, next)
 }
 
-func (f *fakeTopic) Wants() bool {
+func (f *fakeTopic) Behind() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.wants
@@ -80,7 +80,7 @@
 	return f.failing
 }
 
-func (f *fakeTopic) Given(records []keyed.Record, next int64, _ time.Duration) {
+func (f *fakeTopic) ApplySnapshot(records []compactedlog.Record, next int64, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.givenRecords, f.wants, f.next = len(records), false, next
@@ -95,13 +95,13 @@
 // fakeRegistry records the endpoints fed to it.
 type fakeRegistry struct {
 	mu      sync.Mutex
-	changes board.Changes
+	changes fleetload.ChangeLog
 	fed     map[string]bool
 }
 
-func (e *fakeRegistry) Changes() *board.Changes { return &e.changes }
+func (e *fakeRegistry) Changes() *fleetload.ChangeLog { return &e.changes }
 
-func (e *fakeRegistry) Feed(changes []board.Change, _ bool) {
+func (e *fakeRegistry) ApplyChanges(changes []fleetload.Change, _ bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range changes {
@@ -121,14 +121,14 @@
 	total int
 }
 
-func (l *fakeLoads) Work(time.Time) board.Work {
-	return board.Work{Loads: []board.Load{{Endpoint: 7, Running: 1}}}
+func (l *fakeLoads) OwnWorkload(time.Time) fleetload.Workload {
+	return fleetload.Workload{Loads: []fleetload.Load{{Endpoint: 7, Running: 1}}}
 }
 
-func (l *fakeLoads) Placed() []board.Read { return nil }
-func (l *fakeLoads) Learn([]board.Read)   {}
+func (l *fakeLoads) TakeReads() []fleetload.PrefixRead  { return nil }
+func (l *fakeLoads) RecordReads([]fleetload.PrefixRead) {}
 
-func (l *fakeLoads) Others(total, _ board.Work, _ time.Time) {
+func (l *fakeLoads) SetFleetWorkload(total, _ fleetload.Workload, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total = 0
@@ -149,11 +149,11 @@
 	values map[string][]byte
 }
 
-func (l *fakeRouterTopic) Newest(context.Context) (p keyed.Page, err error) {
+func (l *fakeRouterTopic) Newest(context.Context) (p compactedlog.Page, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, value := range l.values {
-		p.Records = append(p.Records, keyed.Record{Key: key, Value: value})
+		p.Records = append(p.Records, compactedlog.Record{Key: key, Value: value})
 	}
 	return p, nil
 }
@@ -171,7 +171,7 @@
 	registry      fakeTopic
 	fakeRegistry  fakeRegistry
 	fakeLoads     fakeLoads
-	record        *keyed.Record
+	record        *compactedlog.Record
 }
 
 func startRouter(t *testing.T, l *fakeRouterTopic, name string, cores float64, set func(r *testRouter)) *testRouter {
@@ -179,17 +179,17 @@
 	// is bound.
 	n := lastAddress.Add(1)
 	address := fmt.Sprintf("127.%d.%d.%d:20201", 1+os.Getpid()%250, 1+n/250, 1+n%250)
-	r := &testRouter{record: &keyed.Record{Key: "c"}}
+	r := &testRouter{record: &compactedlog.Record{Key: "c"}}
 	r.fakeRegistry.fed = map[string]bool{}
 	set(r)
 	var err error
-	r.agent, err = hub.New(hub.Parts{
-		Address: address,
-		Self:    members.Member{Name: name, Address: address, Started: 1, Bears: members.VM{Cores: cores}.Bears()},
-		Members: &members.List{}, Configuration: &r.configuration, Registry: &r.registry,
-		Record:    func() *keyed.Record { return r.record },
-		Endpoints: &r.fakeRegistry, Loads: &r.fakeLoads, Listing: hub.NewListing(l), Meter: meter.New(metrics.NewSet()),
-		Logger: log.NewNopLogger(), Clock: clock, Stale: staleAge, Counted: func([]uint64) {},
+	r.agent, err = hub.New(hub.Config{
+		ListenAddress: address,
+		Self:          members.Member{Name: name, Address: address, Started: 1, Bears: members.VM{Cores: cores}.FollowerCapacity()},
+		Members:       &members.List{}, Configuration: &r.configuration, Registry: &r.registry,
+		CurrentRecord: func() *compactedlog.Record { return r.record },
+		Endpoints:     &r.fakeRegistry, Loads: &r.fakeLoads, RouterList: hub.NewRouterList(l), Meter: traffic.New(metrics.NewSet()),
+		Logger: log.NewNopLogger(), Clock: clock, StaleAfter: staleAge, OnRoutersChanged: func([]uint64) {},
 	})
 	assert.NilError(t, err)
 	assert.NilError(t, r.agent.Start(context.Background()))
@@ -221,16 +221,16 @@
 func TestOneReadsForAll(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{"odd": []byte("{")}}
 	big := startRouter(t, l, "big", 4, readUpTo(5, 0))
-	big.fakeRegistry.changes.Put(board.Change{Entry: directory.Entry{ID: "x"}, Usable: true})
+	big.fakeRegistry.changes.Add(fleetload.Change{Entry: directory.Entry{ID: "x"}, Usable: true})
 	small := startRouter(t, l, "small", 1, func(r *testRouter) {
 		readUpTo(3, 0)(r)
 		r.configuration.wants = true
 	})
-	waitFor(t, "the hub is followed", func() bool { return small.agent.Follows() == "big" && big.agent.Follows() == "big" })
+	waitFor(t, "the hub is followed", func() bool { return small.agent.HubName() == "big" && big.agent.HubName() == "big" })
 	waitFor(t, "what the hub knows", func() bool {
 		return small.fakeRegistry.has("x") && small.fakeLoads.running() == 2 && big.fakeLoads.running() == 2 && small.configuration.gotRecords() == 1
 	})
-	big.fakeRegistry.changes.Put(board.Change{Entry: directory.Entry{ID: "x"}})
+	big.fakeRegistry.changes.Add(fleetload.Change{Entry: directory.Entry{ID: "x"}})
 	big.agent.NotifyNews()
 	waitFor(t, "x is gone", func() bool { return !small.fakeRegistry.has("x") })
 }
@@ -247,7 +247,7 @@
 		startRouter(t, l, "big", 4, func(r *testRouter) {
 			readUpTo(5, 0)(r)
 			// Random bytes do not compress.
-			r.record = &keyed.Record{Key: "c", Value: make([]byte, c.size), Offset: 4}
+			r.record = &compactedlog.Record{Key: "c", Value: make([]byte, c.size), Offset: 4}
 			_, _ = rand.NewChaCha8([32]byte{}).Read(r.record.Value)
 		})
 		small := startRouter(t, l, "small", 1, func(r *testRouter) {
@@ -266,10 +266,10 @@
 func TestHubThatIsBehindIsNotFollowed(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{}}
 	big := startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
-	big.fakeRegistry.changes.Put(board.Change{Entry: directory.Entry{ID: "left"}, Usable: true})
+	big.fakeRegistry.changes.Add(fleetload.Change{Entry: directory.Entry{ID: "left"}, Usable: true})
 	small := startRouter(t, l, "small", 1, readUpTo(9, 100*time.Millisecond))
 	waitFor(t, "the hub was asked", func() bool { return big.fakeLoads.running() == 2 })
-	waitFor(t, "the hub is given up", func() bool { return small.agent.Follows() == "small" })
+	waitFor(t, "the hub is given up", func() bool { return small.agent.HubName() == "small" })
 	assert.Assert(t, !small.fakeRegistry.has("left"))
 }
 
@@ -279,7 +279,7 @@
 	l := &fakeRouterTopic{values: map[string][]byte{}}
 	startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
 	small := startRouter(t, l, "small", 1, readUpTo(5, 8*time.Second))
-	waitFor(t, "the hub is followed", func() bool { return small.agent.Follows() == "big" })
+	waitFor(t, "the hub is followed", func() bool { return small.agent.HubName() == "big" })
 }
 
 // As above, but this router's last read before the outage is newer than the hub's. It may try another hub, at most
@@ -289,7 +289,7 @@
 	startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
 	startRouter(t, l, "middle", 3, readUpTo(5, 6*time.Second))
 	small := startRouter(t, l, "small", 1, readUpTo(5, 5*time.Second))
-	waitFor(t, "the second hub is followed", func() bool { return small.agent.Follows() == "middle" })
+	waitFor(t, "the second hub is followed", func() bool { return small.agent.HubName() == "middle" })
 }
 
 // The store refuses the hub and this router, but not a third router. This router can keep serving keyed requests with
@@ -299,17 +299,19 @@
 	startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
 	startRouter(t, l, "middle", 3, readUpTo(9, 100*time.Millisecond))
 	small := startRouter(t, l, "small", 1, readUpTo(5, 6*time.Second))
-	waitFor(t, "the one that reads is followed", func() bool { return small.agent.Follows() == "middle" })
+	waitFor(t, "the one that reads is followed", func() bool { return small.agent.HubName() == "middle" })
 }
 
 func TestRouterListErrors(t *testing.T) {
-	_, err := hub.NewListing(downTopic{}).All(context.Background())
+	_, err := hub.NewRouterList(downTopic{}).All(context.Background())
 	assert.ErrorContains(t, err, "read the list of routers")
-	err = hub.NewListing(downTopic{}).Add(context.Background(), members.Member{Name: "a"})
+	err = hub.NewRouterList(downTopic{}).Add(context.Background(), members.Member{Name: "a"})
 	assert.ErrorContains(t, err, "add router a to the router list")
 }
 
 type downTopic struct{}
 
-func (downTopic) Newest(context.Context) (keyed.Page, error)      { return keyed.Page{}, errors.New("down") }
+func (downTopic) Newest(context.Context) (compactedlog.Page, error) {
+	return compactedlog.Page{}, errors.New("down")
+}
 func (downTopic) Put(context.Context, string, []byte) (err error) { return errors.New("down") }
--- a/io/hub/client.go
+++ b/io/hub/client.go
@@ -6,10 +6,10 @@
 	"net/rpc"
 	"time"
 
-	"savoryfall/core/board"
-	"savoryfall/core/keyed"
+	"savoryfall/core/compactedlog"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/members"
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 // serviceName is the name of the hub's service in net/rpc.
@@ -19,7 +19,7 @@
 type hubState struct {
 	epoch int64
 	Numbers
-	total board.Work
+	total fleetload.Workload
 	// replyStamp is the hub's clock when it wrote the last reply; receivedAt is this router's clock when the reply
 	// arrived.
 	replyStamp, receivedAt time.Duration
@@ -52,19 +52,19 @@
 // sendReport sends the work of this router and of those that report to it to the hub, and applies the reply.
 func (a *Agent) sendReport(ctx context.Context, m members.Member) (err error) {
 	now := time.Now()
-	own := a.Loads.Work(now)
-	fresh := a.board.Take(a.Self.Name, own, a.Loads.Placed(), now)
-	work, routers := a.board.Reported(now)
+	own := a.Loads.OwnWorkload(now)
+	fresh := a.board.AddReport(a.Self.Name, own, a.Loads.TakeReads(), now)
+	work, routers := a.board.LocalTotals(now)
 	args := &Report{
 		From: a.Self, Loads: toColumns(work.Loads), Demands: work.Demands, Epoch: a.hubState.epoch, Numbers: a.hubState.Numbers,
-		Digest: a.Members.Digest(), Configuration: a.hubState.configuration.Next, Wants: a.Configuration.Wants(),
+		Digest: a.Members.Digest(), Configuration: a.hubState.configuration.Next, Wants: a.Configuration.Behind(),
 		Failing: a.Configuration.Failing(), Holds: a.heldOffset(), Offer: a.buildOffer(), Hold: reportHold,
 	}
 	args.Reads, args.Joined = a.undelivered(fresh)
 	if routers > 1 {
 		args.Hold = hubReportHold
 	}
-	if m.Name != a.Follows() {
+	if m.Name != a.HubName() {
 		args.Hold = 0
 	}
 	var reply Reply
@@ -88,32 +88,32 @@
 
 // heldOffset returns the offset of the record of the configuration in force.
 func (a *Agent) heldOffset() int64 {
-	if r := a.Record(); r != nil {
+	if r := a.CurrentRecord(); r != nil {
 		return r.Offset
 	}
 	return noRecord
 }
 
 // otherRecords returns the other records of the configuration topic that are in force.
-func (a *Agent) otherRecords() []keyed.Record {
-	if a.Beside == nil {
+func (a *Agent) otherRecords() []compactedlog.Record {
+	if a.OtherRecords == nil {
 		return nil
 	}
-	return a.Beside()
+	return a.OtherRecords()
 }
 
 // maxPendingReads limits the reads kept while no hub accepts them.
 const maxPendingReads = 4096
 
 // undelivered returns what the hub has not accepted yet, including the fresh reads.
-func (a *Agent) undelivered(fresh []board.Read) (reads []board.Read, joinedRouters []members.Member) {
+func (a *Agent) undelivered(fresh []fleetload.PrefixRead) (reads []fleetload.PrefixRead, joinedRouters []members.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pendingReads = append(a.pendingReads, fresh...)
 	if len(a.pendingReads) > maxPendingReads {
-		a.pendingReads = append([]board.Read(nil), a.pendingReads[len(a.pendingReads)-maxPendingReads:]...)
+		a.pendingReads = append([]fleetload.PrefixRead(nil), a.pendingReads[len(a.pendingReads)-maxPendingReads:]...)
 	}
-	return append([]board.Read(nil), a.pendingReads...), append([]members.Member(nil), a.joinedRouters...)
+	return append([]fleetload.PrefixRead(nil), a.pendingReads...), append([]members.Member(nil), a.joinedRouters...)
 }
 
 // markDelivered drops what the hub accepted with the report; more may have been added since.
@@ -165,23 +165,23 @@
 
 // hubStuck reports whether what the hub knows is old although nobody reports that the store cannot be read.
 func (a *Agent) hubStuck(r *Reply) bool {
-	maxAge := time.Duration(stuckFactor * float64(a.Stale))
+	maxAge := time.Duration(stuckFactor * float64(a.StaleAfter))
 	return !r.Failing && r.Configuration.Known && r.Registry.Known && max(r.Configuration.Age, r.Registry.Age) > maxAge
 }
 
 // compareFreshness reports whether the hub's reads are old and this router's are newer, and whether these are recent
 // enough to show that this router can read the store.
 func (a *Agent) compareFreshness(position TopicPosition, f TopicReader, sent time.Duration) (newer, canRead bool) {
-	next, known, ok := f.Known()
-	if !ok || !position.Known || position.Age <= a.Stale || next < position.Next {
+	next, known, ok := f.Position()
+	if !ok || !position.Known || position.Age <= a.StaleAfter || next < position.Next {
 		return false, false
 	}
-	return known > sent-position.Age+minFreshnessGain, sent-known <= a.Stale
+	return known > sent-position.Age+minFreshnessGain, sent-known <= a.StaleAfter
 }
 
 // applyReply applies a reply to a report that was sent at the given time since boot. A reply that does not continue
 // from the current state resets it, so that the next report requests everything.
-func (a *Agent) applyReply(r *Reply, work, own board.Work, sent time.Duration) (err error) {
+func (a *Agent) applyReply(r *Reply, work, own fleetload.Workload, sent time.Duration) (err error) {
 	state := a.hubState.forEpoch(r.Epoch)
 	rows, err := r.Loads.rows()
 	if err == nil && !r.continues(state.Numbers) {
@@ -191,18 +191,18 @@
 		a.hubState = hubState{}
 		return err
 	}
-	state.total = state.total.Merge(board.Work{Loads: rows, Demands: r.Demands}, r.Since.Totals == 0)
+	state.total = state.total.ApplyDelta(fleetload.Workload{Loads: rows, Demands: r.Demands}, r.Since.Totals == 0)
 	state.Numbers, state.askedToRead, state.failing = r.Numbers, r.Read, r.Failing
 	state.replyStamp, state.receivedAt = r.Stamp, a.Clock()
 	state.configuration, state.registry = r.Configuration, r.Registry
 	a.applyRegistry(r, sent)
 	a.applyConfiguration(r, sent)
 	now := time.Now()
-	a.board.HearTotal(state.total, work, now)
+	a.board.SetFleetTotal(state.total, work, now)
 	total, _ := a.board.Totals(now)
-	a.Loads.Others(total, own, now)
-	a.board.Hear(r.Reads)
-	a.Loads.Learn(r.Reads)
+	a.Loads.SetFleetWorkload(total, own, now)
+	a.board.AddReads(r.Reads)
+	a.Loads.RecordReads(r.Reads)
 	if len(r.Members) > 0 {
 		a.addRouters(r.Members)
 	}
@@ -226,16 +226,16 @@
 }
 
 func (a *Agent) applyRegistry(r *Reply, sent time.Duration) {
-	next, _, ok := a.Registry.Known()
+	next, _, ok := a.Registry.Position()
 	if !r.Registry.Known {
 		return
 	}
-	a.Registry.Attend()
+	a.Registry.HubAnswered()
 	if ok && r.Registry.Next < next {
 		return
 	}
-	a.Endpoints.Feed(r.Changes, r.Since.Changes == 0)
-	a.Registry.Fed(r.Registry.Next, sent-r.Registry.Age)
+	a.Endpoints.ApplyChanges(r.Changes, r.Since.Changes == 0)
+	a.Registry.AdvanceTo(r.Registry.Next, sent-r.Registry.Age)
 }
 
 func (a *Agent) applyConfiguration(r *Reply, sent time.Duration) {
@@ -243,17 +243,17 @@
 	if !position.Known {
 		return
 	}
-	a.Configuration.Attend()
+	a.Configuration.HubAnswered()
 	if r.Given != nil {
 		a.applyCompressed(r.Given, position.Next, sent-position.Age)
 		return
 	}
 	if position.Next == 0 {
 		// There is no configuration yet.
-		a.Configuration.Given(nil, 0, sent-position.Age)
+		a.Configuration.ApplySnapshot(nil, 0, sent-position.Age)
 		return
 	}
-	a.Configuration.Confirm(position.Next, sent-position.Age)
+	a.Configuration.ConfirmEnd(position.Next, sent-position.Age)
 }
 
 func (a *Agent) call(ctx context.Context, m members.Member, args *Report, reply *Reply) (err error) {
@@ -263,7 +263,7 @@
 	if err != nil {
 		return err
 	}
-	a.Meter.Called(meter.KindPeer)
+	a.Meter.CountCall(traffic.KindPeer)
 	call := client.Go(serviceName+".Report", args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
@@ -296,7 +296,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.client, a.connectedTo = rpc.NewClient(a.Meter.Conn(meter.KindPeer, raw)), m
+	a.client, a.connectedTo = rpc.NewClient(a.Meter.CountBytes(traffic.KindPeer, raw)), m
 	return a.client, nil
 }
 
--- a/io/hub/columns.go
+++ b/io/hub/columns.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"savoryfall/core/board"
+	"savoryfall/core/fleetload"
 )
 
 // LoadColumns is the wire format of a list of loads. Stored by row, the codec would spend a byte on each field, and
@@ -22,30 +22,30 @@
 
 var errLoadColumns = errors.New("the loads are not a table")
 
-func toColumns(loads []board.Load) (c LoadColumns) {
+func toColumns(loads []fleetload.Load) (c LoadColumns) {
 	for _, l := range loads {
 		c.Endpoints = append(c.Endpoints, l.Endpoint)
 		c.Running = append(c.Running, int32(l.Running))
-		c.Unread = append(c.Unread, int32(l.Unread))
-		c.Bad = append(c.Bad, l.Bad)
-		c.All = append(c.All, l.All)
-		c.Hidden = append(c.Hidden, l.Hidden)
+		c.Unread = append(c.Unread, int32(l.PendingPromptTokens))
+		c.Bad = append(c.Bad, l.Failures)
+		c.All = append(c.All, l.Attempts)
+		c.Hidden = append(c.Hidden, l.Unaccounted)
 	}
 	return c
 }
 
-func (c LoadColumns) rows() (rows []board.Load, err error) {
+func (c LoadColumns) rows() (rows []fleetload.Load, err error) {
 	n := len(c.Endpoints)
 	for _, m := range []int{len(c.Running), len(c.Unread), len(c.Bad), len(c.All), len(c.Hidden)} {
 		if m != n || n > maxLoadRows {
 			return nil, errLoadColumns
 		}
 	}
-	rows = make([]board.Load, n)
+	rows = make([]fleetload.Load, n)
 	for i := range rows {
-		rows[i] = board.Load{
-			Endpoint: c.Endpoints[i], Running: int(c.Running[i]), Unread: int(c.Unread[i]),
-			Bad: c.Bad[i], All: c.All[i], Hidden: c.Hidden[i],
+		rows[i] = fleetload.Load{
+			Endpoint: c.Endpoints[i], Running: int(c.Running[i]), PendingPromptTokens: int(c.Unread[i]),
+			Failures: c.Bad[i], Attempts: c.All[i], Unaccounted: c.Hidden[i],
 		}
 	}
 	return rows, nil
--- a/io/hub/compress.go
+++ b/io/hub/compress.go
@@ -7,7 +7,7 @@
 	"io"
 	"sync"
 
-	"savoryfall/core/keyed"
+	"savoryfall/core/compactedlog"
 )
 
 // CompressedConfiguration is the wire format of the configuration topic's records in force. A configuration of
@@ -17,8 +17,8 @@
 	Offset int64
 	// Data is empty if the receiver holds the record of that offset.
 	Data []byte
-	// Beside are the other records in force.
-	Beside []keyed.Record
+	// OtherRecords are the other records in force.
+	Beside []compactedlog.Record
 }
 
 // maxConfigurationBytes limits the size of a decompressed configuration.
@@ -30,7 +30,7 @@
 	errRecordNotHeld = errors.New("the configuration record that the sender left out is not held here")
 )
 
-func compress(r *keyed.Record) (p *CompressedConfiguration, err error) {
+func compress(r *compactedlog.Record) (p *CompressedConfiguration, err error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
@@ -45,21 +45,21 @@
 }
 
 // records returns all records in force. held is the configuration record that the receiver has.
-func (p *CompressedConfiguration) records(held *keyed.Record) (records []keyed.Record, err error) {
+func (p *CompressedConfiguration) records(held *compactedlog.Record) (records []compactedlog.Record, err error) {
 	if len(p.Data) == 0 {
 		if held == nil || held.Offset != p.Offset {
 			return nil, errRecordNotHeld
 		}
-		return append([]keyed.Record{*held}, p.Beside...), nil
+		return append([]compactedlog.Record{*held}, p.Beside...), nil
 	}
 	r, err := p.record()
 	if err != nil {
 		return nil, err
 	}
-	return append([]keyed.Record{r}, p.Beside...), nil
+	return append([]compactedlog.Record{r}, p.Beside...), nil
 }
 
-func (p *CompressedConfiguration) record() (r keyed.Record, err error) {
+func (p *CompressedConfiguration) record() (r compactedlog.Record, err error) {
 	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.Data)), maxConfigurationBytes+1))
 	if err != nil {
 		return r, err
@@ -67,20 +67,20 @@
 	if len(value) > maxConfigurationBytes {
 		return r, errConfigurationTooLarge
 	}
-	return keyed.Record{Key: p.Key, Offset: p.Offset, Value: value}, nil
+	return compactedlog.Record{Key: p.Key, Offset: p.Offset, Value: value}, nil
 }
 
 // compressionCache keeps the last compressed record, so that it is compressed once for all receivers. The zero value
 // is empty.
 type compressionCache struct {
 	mu         sync.Mutex
-	source     *keyed.Record
+	source     *compactedlog.Record
 	compressed *CompressedConfiguration
 }
 
 // compress returns the record in compressed form together with the others, and without its data if it is the one at
 // heldOffset, which the receiver holds.
-func (p *compressionCache) compress(r *keyed.Record, heldOffset int64, others []keyed.Record) (c *CompressedConfiguration, err error) {
+func (p *compressionCache) compress(r *compactedlog.Record, heldOffset int64, others []compactedlog.Record) (c *CompressedConfiguration, err error) {
 	if r == nil {
 		return nil, nil
 	}
--- a/io/hub/epoch_test.go
+++ b/io/hub/epoch_test.go
@@ -9,33 +9,33 @@
 	"github.com/go-kit/log"
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
 	"savoryfall/core/directory"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/members"
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 // unreadTopic is a topic that has not been read.
 type unreadTopic struct{ ConfigurationReader }
 
-func (unreadTopic) Known() (next int64, sent time.Duration, ok bool) { return 0, 0, false }
-func (unreadTopic) Wants() bool                                      { return false }
-func (unreadTopic) Failing() bool                                    { return false }
-func (unreadTopic) Attend()                                          {}
-func (unreadTopic) Unaided()                                         {}
+func (unreadTopic) Position() (next int64, sent time.Duration, ok bool) { return 0, 0, false }
+func (unreadTopic) Behind() bool                                        { return false }
+func (unreadTopic) Failing() bool                                       { return false }
+func (unreadTopic) HubAnswered()                                        {}
+func (unreadTopic) EndStartupWait()                                     {}
 
 // fakeEndpoints holds changes of endpoints and ignores what is fed to it.
-type fakeEndpoints struct{ changes board.Changes }
+type fakeEndpoints struct{ changes fleetload.ChangeLog }
 
-func (n *fakeEndpoints) Changes() *board.Changes { return &n.changes }
-func (*fakeEndpoints) Feed([]board.Change, bool) {}
+func (n *fakeEndpoints) Changes() *fleetload.ChangeLog       { return &n.changes }
+func (*fakeEndpoints) ApplyChanges([]fleetload.Change, bool) {}
 
-func newTestHub(t *testing.T, name string) (s *Service, changes *board.Changes) {
+func newTestHub(t *testing.T, name string) (s *Service, changes *fleetload.ChangeLog) {
 	t.Helper()
 	n := &fakeEndpoints{}
-	a, err := New(Parts{
-		Self: members.Member{Name: name}, Address: "127.0.0.1:0", Members: &members.List{}, Configuration: unreadTopic{}, Registry: unreadTopic{},
-		Endpoints: n, Meter: meter.New(metrics.NewSet()), Logger: log.NewNopLogger(), Counted: func([]uint64) {},
+	a, err := New(Config{
+		Self: members.Member{Name: name}, ListenAddress: "127.0.0.1:0", Members: &members.List{}, Configuration: unreadTopic{}, Registry: unreadTopic{},
+		Endpoints: n, Meter: traffic.New(metrics.NewSet()), Logger: log.NewNopLogger(), OnRoutersChanged: func([]uint64) {},
 		Clock: func() time.Duration { return 0 },
 	})
 	assert.NilError(t, err)
@@ -50,11 +50,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		first, earlier := newTestHub(t, "first")
 		second, later := newTestHub(t, "second")
-		earlier.Put(board.Change{Entry: directory.Entry{ID: "known"}, Usable: true})
+		earlier.Add(fleetload.Change{Entry: directory.Entry{ID: "known"}, Usable: true})
 		var told Reply
 		assert.NilError(t, first.Report(&Report{From: members.Member{Name: "third"}}, &told))
 		assert.Equal(t, len(told.Changes), 1)
-		later.Put(board.Change{Entry: directory.Entry{ID: "leaving"}})
+		later.Add(fleetload.Change{Entry: directory.Entry{ID: "leaving"}})
 		var next Reply
 		assert.NilError(t, second.Report(&Report{
 			From: members.Member{Name: "third"}, Epoch: told.Epoch, Numbers: told.Numbers,
--- a/io/hub/fakestore_test.go
+++ b/io/hub/fakestore_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"savoryfall/core/keyed"
+	"savoryfall/core/compactedlog"
 )
 
 const (
@@ -18,7 +18,7 @@
 // fakeStore is an in-memory store that counts the calls of all routers.
 type fakeStore struct {
 	mu          sync.Mutex
-	topics      map[string][]keyed.Record
+	topics      map[string][]compactedlog.Record
 	firstOffset map[string]int64
 	refused     func(router string) bool
 	calls       int
@@ -27,13 +27,13 @@
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{topics: map[string][]keyed.Record{}, firstOffset: map[string]int64{}, newsCh: make(chan struct{})}
+	return &fakeStore{topics: map[string][]compactedlog.Record{}, firstOffset: map[string]int64{}, newsCh: make(chan struct{})}
 }
 
 func (s *fakeStore) put(topic, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.topics[topic] = append(s.topics[topic], keyed.Record{
+	s.topics[topic] = append(s.topics[topic], compactedlog.Record{
 		Key: key, Value: []byte(value), Offset: int64(len(s.topics[topic])), Removed: value == "",
 	})
 	close(s.newsCh)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (s *storeTopic) Newest(ctx context.Context) (p keyed.Page, err error) {
+func (s *storeTopic) Newest(ctx context.Context) (p compactedlog.Page, err error) {
 	sent := time.Now()
 	err = s.call(ctx)
 	if err != nil {
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noteRead(sent)
-	newest := map[string]keyed.Record{}
+	newest := map[string]compactedlog.Record{}
 	for _, r := range s.topics[s.name] {
 		newest[r.Key] = r
 	}
@@ -126,7 +126,7 @@
 	return p, nil
 }
 
-func (s *storeTopic) Since(ctx context.Context, from int64, wait time.Duration) (p keyed.Page, err error) {
+func (s *storeTopic) Since(ctx context.Context, from int64, wait time.Duration) (p compactedlog.Page, err error) {
 	sent := time.Now()
 	err = s.call(ctx)
 	for err == nil {
@@ -135,11 +135,11 @@
 		s.noteRead(sent)
 		s.mu.Unlock()
 		if from < firstOffset && from < int64(len(records)) {
-			return p, keyed.TrimmedError{Want: from, First: firstOffset}
+			return p, compactedlog.TrimmedError{Requested: from, First: firstOffset}
 		}
 		left := wait - time.Since(sent)
 		if int64(len(records)) > from || left <= 0 {
-			return keyed.Page{Records: records[from:], Next: int64(len(records))}, nil
+			return compactedlog.Page{Records: records[from:], Next: int64(len(records))}, nil
 		}
 		select {
 		case <-newsCh:
--- a/io/hub/fleet_test.go
+++ b/io/hub/fleet_test.go
@@ -180,7 +180,7 @@
 		defer f.stop()
 		var first string
 		for _, r := range f.routers {
-			if r.agent.Follows() == r.self.Name {
+			if r.agent.HubName() == r.self.Name {
 				first = r.self.Address
 			}
 		}
--- a/io/hub/fleetharness_test.go
+++ b/io/hub/fleetharness_test.go
@@ -12,14 +12,14 @@
 	"github.com/go-kit/log"
 	"gotest.tools/v3/assert"
 
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/directory"
-	"savoryfall/core/keyed"
 	"savoryfall/core/members"
 	"savoryfall/io/draining"
 	"savoryfall/io/follow"
 	"savoryfall/io/hub"
-	"savoryfall/io/meter"
 	"savoryfall/io/registry"
+	"savoryfall/io/traffic"
 	"savoryfall/platform/evacuation"
 )
 
@@ -39,9 +39,9 @@
 	agent             *hub.Agent
 	configuration     *follow.Follower
 	registry          *follow.Follower
-	endpoints         *registry.Keeper
+	endpoints         *registry.Tracker
 	configurationSink configurationSink
-	drainKeeper       *draining.Keeper
+	drainKeeper       *draining.Tracker
 	mu                sync.Mutex
 	domains           []string
 	// drainedAt is when domains changed last.
@@ -69,10 +69,10 @@
 	for i := range n {
 		m := members.Member{
 			Name: fmt.Sprint("vm", i), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), FailureDomain: fmt.Sprint("domain", i%domainCount),
-			Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.Bears(),
+			Bears: members.VM{Cores: 0.2, MemoryMB: 184, LinkMbps: 20}.FollowerCapacity(),
 		}
 		if i < largeVMCount {
-			m.Bears = members.VM{Cores: 0.8, MemoryMB: 536, LinkMbps: 200}.Bears()
+			m.Bears = members.VM{Cores: 0.8, MemoryMB: 536, LinkMbps: 200}.FollowerCapacity()
 		}
 		f.start(m, true)
 		time.Sleep(time.Millisecond)
@@ -92,20 +92,20 @@
 func (f *fleet) start(m members.Member, bootstrap bool) {
 	m.Started = time.Now().UnixNano()
 	r := &simRouter{self: m}
-	options := follow.Options{Grace: 400 * time.Millisecond, Stale: propagationBound * 3 / 4, First: 1200 * time.Millisecond, Clock: f.clock}
+	options := follow.Options{Grace: 400 * time.Millisecond, MaxAge: propagationBound * 3 / 4, StartupWait: 1200 * time.Millisecond, Clock: f.clock}
 	configured, entered := options, options
-	configured.Name, configured.Wait, configured.Pause = "configuration", 500*time.Millisecond, 50*time.Millisecond
-	entered.Name, entered.Pause = "registry", 600*time.Millisecond
+	configured.Name, configured.PollWait, configured.MinInterval = "configuration", 500*time.Millisecond, 50*time.Millisecond
+	entered.Name, entered.MinInterval = "registry", 600*time.Millisecond
 	r.drainKeeper = draining.New(evacuation.Decoder{}, r, log.NewNopLogger())
 	r.configuration = follow.New(f.store.forRouter(m.Name, configurationTopic), follow.Sinks{r.drainKeeper, &r.configurationSink}, configured, log.NewNopLogger())
 	r.endpoints = registry.New(entryDecoder{}, func([]directory.Entry) {}, log.NewNopLogger())
 	r.registry = follow.New(f.store.forRouter(m.Name, registryTopic), r.endpoints, entered, log.NewNopLogger())
 	var err error
-	r.agent, err = hub.New(hub.Parts{
-		Self: m, Address: m.Address, Members: &members.List{}, Configuration: r.configuration, Record: r.configurationSink.record, Beside: r.drainKeeper.Records,
-		Registry: r.registry, Endpoints: r.endpoints, Loads: &r.work, Listing: hub.NewListing(f.store.forRouter(m.Name, routersTopic)),
-		Bootstrap: bootstrap, Network: f.net.forRouter(m.Address), Meter: meter.New(metrics.NewSet()), Logger: log.NewNopLogger(),
-		Clock: f.clock, Stale: propagationBound * 3 / 4, Counted: func([]uint64) {},
+	r.agent, err = hub.New(hub.Config{
+		Self: m, ListenAddress: m.Address, Members: &members.List{}, Configuration: r.configuration, CurrentRecord: r.configurationSink.record, OtherRecords: r.drainKeeper.Records,
+		Registry: r.registry, Endpoints: r.endpoints, Loads: &r.work, RouterList: hub.NewRouterList(f.store.forRouter(m.Name, routersTopic)),
+		Bootstrap: bootstrap, Network: f.net.forRouter(m.Address), Meter: traffic.New(metrics.NewSet()), Logger: log.NewNopLogger(),
+		Clock: f.clock, StaleAfter: propagationBound * 3 / 4, OnRoutersChanged: func([]uint64) {},
 	})
 	assert.NilError(f.t, err)
 	ctx := context.Background()
@@ -133,14 +133,14 @@
 	return dead
 }
 
-// Drain records which failure domains are drained, and since when.
-func (r *simRouter) Drain(domains []string, now time.Time) {
+// SetDrained records which failure domains are drained, and since when.
+func (r *simRouter) SetDrained(domains []string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.domains, r.drainedAt = domains, now
 }
 
-func (r *simRouter) InDomain(string) int { return 0 }
+func (r *simRouter) CountInDomain(string) int { return 0 }
 
 // drainedDomains returns the failure domains that the router has drained, and since when.
 func (r *simRouter) drainedDomains() (domains []string, since time.Time) {
@@ -179,7 +179,7 @@
 		assert.Equal(f.t, r.configurationSink.version(), version, r.self.Name)
 		assert.Equal(f.t, r.usable(), usable, r.self.Name)
 		for _, topic := range []*follow.Follower{r.configuration, r.registry} {
-			_, sent, ok := topic.Known()
+			_, sent, ok := topic.Position()
 			assert.Assert(f.t, ok, r.self.Name)
 			assert.Assert(f.t, f.clock()-sent <= age, "%s knows what is %v old", r.self.Name, f.clock()-sent)
 		}
@@ -202,7 +202,7 @@
 	f.t.Helper()
 	hubs, followers := map[string]string{}, map[string]int{}
 	for _, r := range f.routers {
-		hub := r.agent.Follows()
+		hub := r.agent.HubName()
 		if hub == r.self.Name {
 			first++
 			continue
@@ -227,7 +227,7 @@
 	f.t.Helper()
 	last := f.store.lastRead(f.began)
 	for _, r := range f.routers {
-		_, sent, _ := r.registry.Known()
+		_, sent, _ := r.registry.Position()
 		assert.Assert(f.t, sent <= last, "%s: read sent at %v, the last was at %v", r.self.Name, sent, last)
 	}
 }
@@ -235,19 +235,19 @@
 // entryDecoder decodes the entries that putEndpoint writes.
 type entryDecoder struct{}
 
-func (entryDecoder) Decode(r keyed.Record) (e directory.Entry, err error) {
+func (entryDecoder) Decode(r compactedlog.Record) (e directory.Entry, err error) {
 	return e, json.Unmarshal(r.Value, &e)
 }
 
 // configurationSink keeps the newest configuration record.
 type configurationSink struct {
 	mu     sync.Mutex
-	newest *keyed.Record
+	newest *compactedlog.Record
 }
 
-func (c *configurationSink) Replace(records []keyed.Record) { c.Apply(records) }
+func (c *configurationSink) Replace(records []compactedlog.Record) { c.Apply(records) }
 
-func (c *configurationSink) Apply(records []keyed.Record) {
+func (c *configurationSink) Apply(records []compactedlog.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range records {
@@ -263,7 +263,7 @@
 func (c *configurationSink) Read(time.Duration) {}
 func (c *configurationSink) Failed(error)       {}
 
-func (c *configurationSink) record() *keyed.Record {
+func (c *configurationSink) record() *compactedlog.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
--- a/io/hub/input_test.go
+++ b/io/hub/input_test.go
@@ -11,24 +11,24 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/directory"
-	"savoryfall/core/keyed"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/members"
 )
 
-var knownEndpoint = board.Change{Entry: directory.Entry{ID: "known"}, Usable: true}
+var knownEndpoint = fleetload.Change{Entry: directory.Entry{ID: "known"}, Usable: true}
 
 // newFollower returns a router that has applied a first reply, and the hub that sent it.
 func newFollower(t *testing.T) (a *Agent, s *Service, first Reply) {
 	t.Helper()
 	s, changes := newTestHub(t, "hub")
-	changes.Put(knownEndpoint)
+	changes.Add(knownEndpoint)
 	f, _ := newTestHub(t, "follower")
 	a = f.agent
 	a.Loads = idleLoads{}
 	sendTestReport(t, s, a, &first)
-	assert.NilError(t, a.applyReply(&first, board.Work{}, board.Work{}, 0))
+	assert.NilError(t, a.applyReply(&first, fleetload.Workload{}, fleetload.Workload{}, 0))
 	return a, s, first
 }
 
@@ -51,13 +51,13 @@
 			sendTestReport(t, s, a, &next)
 			next.Members = []members.Member{{Name: "foreign", Address: "a"}}
 			spoil(&next)
-			assert.Assert(t, a.applyReply(&next, board.Work{}, board.Work{}, 0) != nil)
+			assert.Assert(t, a.applyReply(&next, fleetload.Workload{}, fleetload.Workload{}, 0) != nil)
 			assert.Equal(t, a.Members.Len(), 1)
 			var whole Reply
 			sendTestReport(t, s, a, &whole)
 			assert.Equal(t, whole.Since, Numbers{})
 			assert.Equal(t, len(whole.Changes), 1)
-			assert.NilError(t, a.applyReply(&whole, board.Work{}, board.Work{}, 0))
+			assert.NilError(t, a.applyReply(&whole, fleetload.Workload{}, fleetload.Workload{}, 0))
 		})
 	}
 }
@@ -82,7 +82,7 @@
 	s, _ := newTestHub(t, "hub")
 	r := Report{From: members.Member{Name: "x", Address: "a"}, Epoch: 5, Numbers: Numbers{Changes: 7}}
 	r.Offer.Registry = Known{Known: true, Next: math.MaxInt64}
-	r.Offer.Changes = []board.Change{knownEndpoint}
+	r.Offer.Changes = []fleetload.Change{knownEndpoint}
 	assert.Assert(t, !s.agent.applyOffer(&r))
 	var reply Reply
 	assert.NilError(t, s.Report(&r, &reply))
@@ -91,7 +91,7 @@
 
 // A configuration that cannot be decompressed, or exceeds the maximum size, is rejected.
 func TestConfigurationThatCannotBeDecompressed(t *testing.T) {
-	record := keyed.Record{Key: "config", Value: make([]byte, maxConfigurationBytes+1), Offset: 3}
+	record := compactedlog.Record{Key: "config", Value: make([]byte, maxConfigurationBytes+1), Offset: 3}
 	p, err := compress(&record)
 	assert.NilError(t, err)
 	_, err = p.record()
@@ -111,8 +111,8 @@
 	s, _ := newTestHub(t, "hub")
 	s.agent.Self.Bears = 2
 	now := time.Now()
-	s.agent.board.Take("hub", board.Work{}, nil, now)
-	assert.Equal(t, s.agent.Self.Followers(), 2)
+	s.agent.board.AddReport("hub", fleetload.Workload{}, nil, now)
+	assert.Equal(t, s.agent.Self.MaxFollowers(), 2)
 	for i, full := range []bool{false, false, true} {
 		var reply Reply
 		from := members.Member{Name: string(rune('a' + i)), Address: "a"}
@@ -130,7 +130,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s, _ := newTestHub(t, "hub")
 			a := s.agent
-			a.Record = func() *keyed.Record { return nil }
+			a.CurrentRecord = func() *compactedlog.Record { return nil }
 			a.Loads, a.Configuration, a.Registry = idleLoads{}, leadTopic{reads: &atomic.Bool{}}, leadTopic{reads: &atomic.Bool{}}
 			a.joinedRouters = []members.Member{{Name: "new", Address: "a"}}
 			server, client := rpc.NewServer(), &fixedReplyHub{Reply{Full: full}}
@@ -160,7 +160,7 @@
 func TestStuckHubIsDetected(t *testing.T) {
 	s, _ := newTestHub(t, "hub")
 	a := s.agent
-	a.Stale = 2 * time.Second
+	a.StaleAfter = 2 * time.Second
 	old := TopicPosition{Known: true, Age: 4 * time.Second}
 	assert.Assert(t, a.hubStuck(&Reply{Configuration: old, Registry: old}))
 	assert.Assert(t, !a.hubStuck(&Reply{Configuration: old, Registry: old, Failing: true}))
--- a/io/hub/join.go
+++ b/io/hub/join.go
@@ -23,18 +23,18 @@
 		close(a.listLoaded)
 	}
 	for !alreadyListed && ctx.Err() == nil {
-		err := a.withStoreTimeout(ctx, func(ctx context.Context) error { return a.Listing.Add(ctx, a.Self) })
+		err := a.withStoreTimeout(ctx, func(ctx context.Context) error { return a.RouterList.Add(ctx, a.Self) })
 		if err == nil {
 			break
 		}
 		_ = a.Logger.Log(field.Event, event.NotListed, field.Err, err)
-		background.Pause(ctx, storeTimeout, nil)
+		background.Sleep(ctx, storeTimeout, nil)
 	}
 	if othersKnown {
 		return
 	}
 	// Routers that start together with this one are adding themselves to the list now.
-	background.Pause(ctx, joinSettleTime, nil)
+	background.Sleep(ctx, joinSettleTime, nil)
 	_, _ = a.readList(ctx)
 	close(a.listLoaded)
 }
@@ -53,7 +53,7 @@
 		if err == nil {
 			return alreadyListed
 		}
-		background.Pause(ctx, delay/2+rand.N(delay), nil)
+		background.Sleep(ctx, delay/2+rand.N(delay), nil)
 	}
 	return false
 }
@@ -62,7 +62,7 @@
 func (a *Agent) readList(ctx context.Context) (alreadyListed bool, err error) {
 	var routers []members.Member
 	err = a.withStoreTimeout(ctx, func(ctx context.Context) (err error) {
-		routers, err = a.Listing.All(ctx)
+		routers, err = a.RouterList.All(ctx)
 		return err
 	})
 	if err != nil {
@@ -70,7 +70,7 @@
 		return false, err
 	}
 	for _, m := range routers {
-		alreadyListed = alreadyListed || m.Name == a.Self.Name && a.Members.Has(m)
+		alreadyListed = alreadyListed || m.Name == a.Self.Name && a.Members.Contains(m)
 	}
 	a.addRouters(routers)
 	return alreadyListed, nil
@@ -85,7 +85,7 @@
 		}
 	}
 	added = a.Members.Put(others...)
-	a.Counted(a.Members.Hashes())
+	a.OnRoutersChanged(a.Members.NameHashes())
 	return added
 }
 
--- a/io/hub/message.go
+++ b/io/hub/message.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"savoryfall/core/board"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/members"
 )
 
@@ -14,8 +14,8 @@
 	// Joined are routers that reported here and that the hub may not know.
 	Joined  []members.Member
 	Loads   LoadColumns
-	Demands []board.Demand
-	Reads   []board.Read
+	Demands []fleetload.Demand
+	Reads   []fleetload.PrefixRead
 	// Epoch identifies the run of the hub that Numbers belong to, as received last.
 	Epoch   int64
 	Numbers Numbers
@@ -49,17 +49,17 @@
 
 	Configuration TopicPosition
 	Registry      TopicPosition
-	// Given is the record of the configuration in force, for a router that requested it.
+	// ApplySnapshot is the record of the configuration in force, for a router that requested it.
 	Given *CompressedConfiguration
 	// Since are the sequence numbers that the lists below start from, 0 for a list that is complete. Numbers are the
 	// new ones.
 	Since   Numbers
 	Numbers Numbers
-	Changes []board.Change
+	Changes []fleetload.Change
 	// Loads and Demands are the sums over all routers.
 	Loads   LoadColumns
-	Demands []board.Demand
-	Reads   []board.Read
+	Demands []fleetload.Demand
+	Reads   []fleetload.PrefixRead
 	// Members are the routers that changed.
 	Members []members.Member
 }
@@ -91,13 +91,13 @@
 	Registry      Known
 	// Failing says that this router's last reads failed.
 	Failing bool
-	// Given and Changes are the configuration and all endpoints. They are set if the hub asked for them and lacks
+	// ApplySnapshot and Changes are the configuration and all endpoints. They are set if the hub asked for them and lacks
 	// them.
 	Given   *CompressedConfiguration
-	Changes []board.Change
+	Changes []fleetload.Change
 }
 
-// Known is the offset up to which a router knows a topic, and when the read that showed this was sent.
+// Position is the offset up to which a router knows a topic, and when the read that showed this was sent.
 type Known struct {
 	Known bool
 	Next  int64
--- a/io/hub/offer.go
+++ b/io/hub/offer.go
@@ -5,7 +5,7 @@
 
 	"savoryfall/core/event"
 	"savoryfall/core/field"
-	"savoryfall/core/rota"
+	"savoryfall/core/readrotation"
 )
 
 // buildOffer returns what this router has read from the store. It includes the data that the hub lacks if the hub has
@@ -21,7 +21,7 @@
 	}
 	if o.Configuration.Known && (!state.configuration.Known || o.Configuration.Next > state.configuration.Next) {
 		var err error
-		o.Given, err = a.compressionCache.compress(a.Record(), noRecord, a.otherRecords())
+		o.Given, err = a.compressionCache.compress(a.CurrentRecord(), noRecord, a.otherRecords())
 		if err != nil {
 			_ = a.Logger.Log(field.Event, event.ConfigurationUnreadable, field.Err, err)
 		}
@@ -33,7 +33,7 @@
 }
 
 func (h *hubState) offered(f TopicReader) Known {
-	next, sent, ok := f.Known()
+	next, sent, ok := f.Position()
 	return Known{Known: ok && h.replyStamp > 0, Next: next, After: sent - h.receivedAt}
 }
 
@@ -48,23 +48,23 @@
 		a.applyCompressed(o.Given, o.Configuration.Next, sent)
 	})
 	registryResult := a.applyOfferedTopic(o.Registry, a.Registry, o.Stamp, len(o.Changes) > 0, func(sent time.Duration) {
-		a.Endpoints.Feed(o.Changes, true)
-		a.Registry.Fed(o.Registry.Next, sent)
+		a.Endpoints.ApplyChanges(o.Changes, true)
+		a.Registry.AdvanceTo(o.Registry.Next, sent)
 	})
 	if configurationResult == offerApplied || registryResult == offerApplied {
-		a.rota.Delivered(args.From.Name, a.Clock())
+		a.readers.Delivered(args.From.Name, a.Clock())
 	}
 	return configurationResult != offerStale || registryResult != offerStale
 }
 
 // applyCompressed takes over the configuration that another router has read up to the offset.
 func (a *Agent) applyCompressed(p *CompressedConfiguration, next int64, sent time.Duration) {
-	records, err := p.records(a.Record())
+	records, err := p.records(a.CurrentRecord())
 	if err != nil {
 		_ = a.Logger.Log(field.Event, event.ConfigurationUnreadable, field.Offset, p.Offset, field.Err, err)
 		return
 	}
-	a.Configuration.Given(records, next, sent)
+	a.Configuration.ApplySnapshot(records, next, sent)
 }
 
 // offerResult is the outcome of applying an offer.
@@ -82,14 +82,14 @@
 const minFreshnessGain = 100 * time.Millisecond
 
 func (a *Agent) applyOfferedTopic(position Known, f TopicReader, stamp time.Duration, hasData bool, apply func(sent time.Duration)) offerResult {
-	next, knownSent, ok := f.Known()
+	next, knownSent, ok := f.Position()
 	sent := stamp + position.After
 	if !position.Known || ok && (position.Next < next || sent < knownSent+minFreshnessGain) {
 		return offerStale
 	}
 	switch {
 	case ok && position.Next == next:
-		f.Confirm(position.Next, sent)
+		f.ConfirmEnd(position.Next, sent)
 	case hasData:
 		apply(sent)
 	default:
@@ -102,13 +102,13 @@
 const starvedAge = 900 * time.Millisecond
 
 // storeAccess returns how well this router, as a hub that must read the store, can do so.
-func (a *Agent) storeAccess() (access rota.Hub) {
+func (a *Agent) storeAccess() (access readrotation.Hub) {
 	access.Failing = a.ReadsStore() && (a.Configuration.Failing() || a.Registry.Failing())
-	access.Starving = access.Failing && (a.starved(a.Configuration) || a.starved(a.Registry))
+	access.Stale = access.Failing && (a.starved(a.Configuration) || a.starved(a.Registry))
 	return access
 }
 
 func (a *Agent) starved(f TopicReader) bool {
-	_, sent, ok := f.Known()
+	_, sent, ok := f.Position()
 	return !ok || a.Clock()-sent > starvedAge
 }
--- a/io/hub/reachable.go
+++ b/io/hub/reachable.go
@@ -24,11 +24,11 @@
 		checks.Go(func() {
 			c, err := a.Network.Dial(ctx, m.Address)
 			if err != nil {
-				a.Members.Failed(m.Name, time.Now())
+				a.Members.MarkFailed(m.Name, time.Now())
 				return
 			}
 			_ = c.Close()
-			a.Members.Reached(m.Name)
+			a.Members.MarkReached(m.Name)
 		})
 	}
 	checks.Wait()
@@ -37,6 +37,6 @@
 // recheckFailed checks, independently of the reports, whether hubs that did not respond can be reached again.
 func (a *Agent) recheckFailed(ctx context.Context) {
 	background.Every(ctx, recheckInterval, func(now time.Time) {
-		a.checkReachable(ctx, a.Members.Retry(a.Self.Name, 1<<maxChecksLog2, now))
+		a.checkReachable(ctx, a.Members.DueRetries(a.Self.Name, 1<<maxChecksLog2, now))
 	})
 }
--- a/io/hub/refusedhub_test.go
+++ b/io/hub/refusedhub_test.go
@@ -19,7 +19,7 @@
 			random := rand.New(rand.NewPCG(seed, seed))
 			away := map[string]bool{}
 			for _, r := range f.routers {
-				away[r.self.Name] = r.agent.Follows() == r.self.Name || random.Float64() < 0.4
+				away[r.self.Name] = r.agent.HubName() == r.self.Name || random.Float64() < 0.4
 			}
 			f.store.refuse(func(router string) bool { return away[router] })
 			time.Sleep(time.Duration(random.Int64N(int64(time.Second))))
--- a/io/hub/routerlist.go
+++ b/io/hub/routerlist.go
@@ -5,24 +5,24 @@
 	"encoding/json"
 
 	"savoryfall/core/annotate"
-	"savoryfall/core/keyed"
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/members"
 )
 
 // Topic is a keyed topic of the store.
 type Topic interface {
-	Newest(ctx context.Context) (p keyed.Page, err error)
+	Newest(ctx context.Context) (p compactedlog.Page, err error)
 	Put(ctx context.Context, key string, value []byte) (err error)
 }
 
-// Listing is the list of routers in the store.
-type Listing struct{ topic Topic }
+// RouterList is the list of routers in the store.
+type RouterList struct{ topic Topic }
 
-// NewListing returns the list that is kept in the topic.
-func NewListing(t Topic) Listing { return Listing{topic: t} }
+// NewRouterList returns the list that is kept in the topic.
+func NewRouterList(t Topic) RouterList { return RouterList{topic: t} }
 
 // Add adds a router to the list. It is idempotent.
-func (l Listing) Add(ctx context.Context, m members.Member) (err error) {
+func (l RouterList) Add(ctx context.Context, m members.Member) (err error) {
 	defer annotate.Error(&err, "add router %s to the router list", m.Name)
 	value, err := json.Marshal(m)
 	if err != nil {
@@ -32,7 +32,7 @@
 }
 
 // All returns the routers on the list. Records that cannot be decoded are skipped.
-func (l Listing) All(ctx context.Context) (routers []members.Member, err error) {
+func (l RouterList) All(ctx context.Context) (routers []members.Member, err error) {
 	defer annotate.Error(&err, "read the list of routers")
 	p, err := l.topic.Newest(ctx)
 	if err != nil {
--- a/io/hub/server.go
+++ b/io/hub/server.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"savoryfall/core/background"
-	"savoryfall/core/board"
 	"savoryfall/core/event"
 	"savoryfall/core/field"
+	"savoryfall/core/fleetload"
 	"savoryfall/core/members"
-	"savoryfall/core/rota"
-	"savoryfall/io/meter"
+	"savoryfall/core/readrotation"
+	"savoryfall/io/traffic"
 )
 
 // Service is the RPC service that other routers call.
@@ -32,7 +32,7 @@
 		}
 		if err != nil {
 			_ = a.Logger.Log(field.Event, event.AcceptFailed, field.Err, err)
-			background.Pause(context.Background(), rootPeriod, nil)
+			background.Sleep(context.Background(), rootPeriod, nil)
 			continue
 		}
 		a.accept(server, raw)
@@ -49,7 +49,7 @@
 	a.accepted[raw] = true
 	a.mu.Unlock()
 	go func() {
-		server.ServeConn(a.Meter.Conn(meter.KindPeer, raw))
+		server.ServeConn(a.Meter.CountBytes(traffic.KindPeer, raw))
 		a.mu.Lock()
 		delete(a.accepted, raw)
 		a.mu.Unlock()
@@ -73,7 +73,7 @@
 		return err
 	}
 	a.registerRouters(args)
-	fresh := a.board.Take(args.From.Name, board.Work{Loads: rows, Demands: args.Demands}, args.Reads, now)
+	fresh := a.board.AddReport(args.From.Name, fleetload.Workload{Loads: rows, Demands: args.Demands}, args.Reads, now)
 	a.mu.Lock()
 	a.pendingReads = append(a.pendingReads, fresh...)
 	a.mu.Unlock()
@@ -84,19 +84,19 @@
 		return err
 	}
 	reply.Failing = a.readersFailing()
-	from := rota.Router{Name: args.From.Name, Newer: newer, Failing: args.Offer.Failing}
-	reply.Read = a.rota.Asks(from, a.storeAccess(), a.Clock())
+	from := readrotation.Router{Name: args.From.Name, HasNewer: newer, Failing: args.Offer.Failing}
+	reply.Read = a.readers.ShouldRead(from, a.storeAccess(), a.Clock())
 	return nil
 }
 
 // atCapacity reports whether this router has as many followers as its VM can serve and the given router is not one of
 // them.
 func (a *Agent) atCapacity(router string, now time.Time) bool {
-	if a.board.Reporting(router, now) {
+	if a.board.HasReport(router, now) {
 		return false
 	}
-	_, routers := a.board.Reported(now)
-	return routers > a.Self.Followers()
+	_, routers := a.board.LocalTotals(now)
+	return routers > a.Self.MaxFollowers()
 }
 
 // registerRouters adds the reporting router and those that joined it, and queues the new ones for the next report.
@@ -131,7 +131,7 @@
 	if args.Epoch != a.epoch || args.Wants {
 		return true
 	}
-	next, _, ok := a.Configuration.Known()
+	next, _, ok := a.Configuration.Position()
 	_, changesNext := a.Endpoints.Changes().Since(args.Numbers.Changes)
 	return ok && next > args.Configuration || changesNext > args.Numbers.Changes
 }
@@ -160,7 +160,7 @@
 		}
 	}
 	reply.Changes, sequence.Changes = a.Endpoints.Changes().Since(since.Changes)
-	var total board.Work
+	var total fleetload.Workload
 	total, sequence.Totals = a.totalsSince(since.Totals)
 	reply.Loads, reply.Demands = toColumns(total.Loads), total.Demands
 	reply.Reads, sequence.Reads = a.board.ReadsSince(since.Reads)
@@ -170,11 +170,11 @@
 }
 
 // totalsSince returns the total loads that changed after the sequence number.
-func (a *Agent) totalsSince(since int64) (work board.Work, next int64) {
+func (a *Agent) totalsSince(since int64) (work fleetload.Workload, next int64) {
 	now := time.Now()
-	if a.ledger.Due(now) {
+	if a.ledger.NeedsUpdate(now) {
 		total, _ := a.board.Totals(now)
-		a.ledger.Take(total, now)
+		a.ledger.Update(total, now)
 	}
 	return a.ledger.Since(since)
 }
@@ -186,7 +186,7 @@
 
 // configurationFor returns the configuration for a router that requested it, or nil if it should read it itself.
 func (a *Agent) configurationFor(args *Report) (p *CompressedConfiguration, err error) {
-	p, err = a.compressionCache.compress(a.Record(), args.Holds, a.otherRecords())
+	p, err = a.compressionCache.compress(a.CurrentRecord(), args.Holds, a.otherRecords())
 	if p != nil && len(p.Data) > maxGivenBytes && !args.Failing {
 		return nil, nil
 	}
@@ -194,6 +194,6 @@
 }
 
 func topicPosition(f TopicReader, arrived time.Duration) (position TopicPosition) {
-	next, sent, ok := f.Known()
+	next, sent, ok := f.Position()
 	return TopicPosition{Known: ok && sent > 0, Next: next, Age: arrived - sent}
 }
--- a/io/hub/start_test.go
+++ b/io/hub/start_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
+	"savoryfall/core/fleetload"
 )
 
 // leadTopic is a topic reader that records whether this router reads for others.
@@ -18,15 +18,15 @@
 	reads *atomic.Bool
 }
 
-func (l leadTopic) Lead(lead bool) { l.reads.Store(lead) }
+func (l leadTopic) SetLeader(lead bool) { l.reads.Store(lead) }
 
 // idleLoads is the load of a router without requests.
 type idleLoads struct{}
 
-func (idleLoads) Work(time.Time) (w board.Work)       { return w }
-func (idleLoads) Placed() []board.Read                { return nil }
-func (idleLoads) Others(_, _ board.Work, _ time.Time) {}
-func (idleLoads) Learn([]board.Read)                  {}
+func (idleLoads) OwnWorkload(time.Time) (w fleetload.Workload)          { return w }
+func (idleLoads) TakeReads() []fleetload.PrefixRead                     { return nil }
+func (idleLoads) SetFleetWorkload(_, _ fleetload.Workload, _ time.Time) {}
+func (idleLoads) RecordReads([]fleetload.PrefixRead)                    {}
 
 // Routers that start together add themselves to the list before they read it. A root polls the store all the time, so
 // no router may act as root before it knows the others; one that cannot read the list must do so eventually.
--- a/io/leases/manager.go
+++ b/io/leases/manager.go
@@ -41,7 +41,7 @@
 	assigned func(duty string) bool
 	mu       sync.Mutex
 	table    lease.Table
-	trackers map[string]*lease.Clock
+	trackers map[string]*lease.Tracker
 	caughtUp bool
 	cancel   context.CancelFunc
 	tasks    background.Group
@@ -49,7 +49,7 @@
 
 // New returns a manager; assigned reports which duties this router should try to hold.
 func New(l Log, self string, terms lease.Terms, assigned func(duty string) bool, logger log.Logger) *Manager {
-	return &Manager{log: l, self: self, terms: terms, assigned: assigned, logger: logger, trackers: map[string]*lease.Clock{}}
+	return &Manager{log: l, self: self, terms: terms, assigned: assigned, logger: logger, trackers: map[string]*lease.Tracker{}}
 }
 
 // Watch starts tracking the lease of a duty.
@@ -57,7 +57,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.trackers[duty] == nil {
-		m.trackers[duty] = lease.NewClock(m.self, duty, m.terms)
+		m.trackers[duty] = lease.NewTracker(m.self, duty, m.terms)
 	}
 }
 
@@ -103,8 +103,8 @@
 	defer m.mu.Unlock()
 	for duty, c := range m.trackers {
 		if c.Holds() {
-			records = append(records, lease.Record{Kind: lease.KindRelease, Duty: duty, Holder: m.self, Fence: c.Seen().Fence})
-			c.Released()
+			records = append(records, lease.Record{Kind: lease.KindRelease, Duty: duty, Holder: m.self, Fence: c.Current().Fence})
+			c.Relinquish()
 		}
 	}
 	return records
@@ -195,8 +195,8 @@
 		if !c.Holds() && !m.assigned(duty) {
 			continue
 		}
-		if r, ok := c.Wanted(now); ok {
-			records = append(records, c.Appending(r, time.Now()))
+		if r, ok := c.NextRecord(now); ok {
+			records = append(records, c.BeginAppend(r, time.Now()))
 		}
 	}
 	return records
--- a/io/load/output.go
+++ b/io/loadtest/output.go
@@ -1,4 +1,4 @@
-package load
+package loadtest
 
 import (
 	"encoding/csv"
--- a/io/load/requests.go
+++ b/io/loadtest/requests.go
@@ -1,4 +1,4 @@
-package load
+package loadtest
 
 import (
 	"bytes"
@@ -60,11 +60,11 @@
 func (r *Run) requestCompletion(ctx context.Context, c *chat, messages []byte) (result completion, err error) {
 	body := fmt.Appendf(nil, `{"model":%q,"stream":true,"messages":%s}`, modelName, messages)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.randomRouter(random).Callers()+"/v1/chat/completions", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.randomRouter(random).CallerAddress()+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return result, err
 	}
-	req.Header.Set("Authorization", "Bearer "+fleet.Key(accountName(c.account)))
+	req.Header.Set("Authorization", "Bearer "+fleet.APIKey(accountName(c.account)))
 	if c.ticket != "" {
 		req.Header.Set(header.Ticket, c.ticket)
 	}
@@ -165,7 +165,7 @@
 	recordDuration(st.firstToken, result.firstToken)
 	surges := false
 	for _, s := range r.plan.Surges {
-		surges = surges || s.Account == c.account+1
+		surges = surges || s.AccountRank == c.account+1
 	}
 	if !surges {
 		recordDuration(st.othersFirstToken, result.firstToken)
@@ -205,7 +205,7 @@
 	outcome := ""
 	for range maxCallAttempts {
 		var err error
-		outcome, err = r.postCall(ctx, r.randomRouter(random).Callers(), key)
+		outcome, err = r.postCall(ctx, r.randomRouter(random).CallerAddress(), key)
 		if err == nil && outcome == "ran" {
 			break
 		}
@@ -223,8 +223,8 @@
 	if err != nil {
 		return "", err
 	}
-	req.Header.Set("Authorization", "Bearer "+fleet.Key(accountName(0)))
-	req.Header.Set(header.Idempotency, key)
+	req.Header.Set("Authorization", "Bearer "+fleet.APIKey(accountName(0)))
+	req.Header.Set(header.IdempotencyKey, key)
 	resp, err := r.client.Do(req)
 	if err != nil {
 		return "", err
--- a/io/load/run.go
+++ b/io/loadtest/run.go
@@ -1,4 +1,4 @@
-package load
+package loadtest
 
 import (
 	"context"
@@ -72,10 +72,10 @@
 		Routers: r.plan.Fleet.Routers, Engines: r.plan.Fleet.Engines, Services: r.plan.Fleet.Services,
 		FailureDomains: r.plan.Fleet.FailureDomains,
 		Engine: engine.Options{
-			Step: e.Step, TokensPerStep: e.TokensPerStep, Batch: e.Batch, PrefillTokens: e.PrefillTokens,
+			Step: e.StepTime, TokensPerStep: e.TokensPerStep, Batch: e.BatchSize, PrefillTokens: e.PrefillTokens,
 			CacheTokens: e.CacheTokens, ReportLag: e.ReportLag,
 		},
-		Extra: map[string]string{
+		ExtraSettings: map[string]string{
 			"callers": "lameDuck = \"0s\"\n",
 			"routing": fmt.Sprintf("policy = %q\nbound = %v\n", r.policy, r.plan.Bound) + r.extraSettings["routing"],
 			"limits":  r.extraSettings["limits"],
@@ -144,7 +144,7 @@
 				return
 			}
 			r.fleet.Log.Set(logservice.Faults{Down: true})
-			r.sleepUntil(ctx, o.At+o.For)
+			r.sleepUntil(ctx, o.At+o.Duration)
 			r.fleet.Log.Set(logservice.Faults{})
 		})
 	}
--- a/io/load/sample.go
+++ b/io/loadtest/sample.go
@@ -1,10 +1,10 @@
-package load
+package loadtest
 
 import (
 	"context"
 	"time"
 
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 const (
@@ -100,11 +100,11 @@
 	byRouter = map[string]map[string]uint64{}
 	for _, router := range r.fleet.Routers() {
 		byKind := map[string]uint64{}
-		for _, k := range meter.Kinds {
+		for _, k := range traffic.AllKinds {
 			sent, received := router.Meter().Bytes(k)
 			byKind[string(k)] = sent + received
 		}
-		byRouter[router.Callers()] = byKind
+		byRouter[router.CallerAddress()] = byKind
 	}
 	return byRouter
 }
@@ -116,7 +116,7 @@
 
 func (r *Run) totalAttempts() (n uint64) {
 	for _, router := range r.fleet.Routers() {
-		n += router.Attempts()
+		n += router.AttemptCount()
 	}
 	return n
 }
--- a/io/load/workload.go
+++ b/io/loadtest/workload.go
@@ -1,4 +1,4 @@
-package load
+package loadtest
 
 import (
 	"container/heap"
@@ -77,8 +77,8 @@
 
 func (wl *workload) rateFactor(accountIndex int, at time.Duration) float64 {
 	for _, s := range wl.plan.Surges {
-		if s.Account == accountIndex+1 && at >= s.At && at < s.At+s.For {
-			return s.Times
+		if s.AccountRank == accountIndex+1 && at >= s.At && at < s.At+s.Duration {
+			return s.Factor
 		}
 	}
 	return 1
--- a/io/stdout/doc.go
+++ b/io/logwriter/doc.go
@@ -1,2 +1,2 @@
 // Package stdout writes log lines without ever blocking the caller.
-package stdout
+package logwriter
--- a/io/stdout/log.go
+++ b/io/logwriter/log.go
@@ -1,4 +1,4 @@
-package stdout
+package logwriter
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"savoryfall/core/field"
 )
 
-// Log is a logger with a limited rate and a bounded queue. Lines that exceed either are dropped and counted: if the
+// Logger is a logger with a limited rate and a bounded queue. Lines that exceed either are dropped and counted: if the
 // reader of the logs stalls, lines may be lost but no request may be delayed.
-type Log struct {
+type Logger struct {
 	lines         chan []byte
 	limiter       *rate.Limiter
 	servedLimiter *rate.Limiter
@@ -46,8 +46,8 @@
 )
 
 // New creates a logger that writes to w once it is started.
-func New(w io.Writer) *Log {
-	l := &Log{
+func New(w io.Writer) *Logger {
+	l := &Logger{
 		lines: make(chan []byte, queueSize), w: w,
 		limiter: rate.NewLimiter(linesPerSecond, burst), servedLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}
@@ -55,8 +55,8 @@
 	return l
 }
 
-// Log queues one line, or drops it if the rate is exceeded or the queue is full.
-func (l *Log) Log(keyvals ...any) error {
+// Logger queues one line, or drops it if the rate is exceeded or the queue is full.
+func (l *Logger) Log(keyvals ...any) error {
 	if eventName(keyvals) == event.RequestServed && !l.servedLimiter.Allow() || !l.limiter.Allow() {
 		l.drop()
 		return nil
@@ -85,7 +85,7 @@
 	return ""
 }
 
-func (l *Log) encode(keyvals []any) (line []byte, err error) {
+func (l *Logger) encode(keyvals []any) (line []byte, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.buf.Reset()
@@ -93,14 +93,14 @@
 	return bytes.Clone(l.buf.Bytes()), err
 }
 
-func (l *Log) drop() {
+func (l *Logger) drop() {
 	l.mu.Lock()
 	l.dropped++
 	l.mu.Unlock()
 }
 
 // Start writes in the background.
-func (l *Log) Start(context.Context) error {
+func (l *Logger) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
 	l.running.Go(func() { l.write(ctx) })
@@ -109,7 +109,7 @@
 }
 
 // Stop writes the queued lines, as far as the writer accepts them before the context is done.
-func (l *Log) Stop(ctx context.Context) error {
+func (l *Logger) Stop(ctx context.Context) error {
 	l.cancel()
 	done := make(chan struct{})
 	go func() {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func (l *Log) flush() {
+func (l *Logger) flush() {
 	for {
 		select {
 		case line := <-l.lines:
@@ -135,7 +135,7 @@
 	}
 }
 
-func (l *Log) write(ctx context.Context) {
+func (l *Logger) write(ctx context.Context) {
 	for {
 		select {
 		case line := <-l.lines:
@@ -146,7 +146,7 @@
 	}
 }
 
-func (l *Log) reportDropped(time.Time) {
+func (l *Logger) reportDropped(time.Time) {
 	l.mu.Lock()
 	n := l.dropped
 	l.dropped = 0
--- a/io/stdout/log_test.go
+++ b/io/logwriter/log_test.go
@@ -1,4 +1,4 @@
-package stdout_test
+package logwriter_test
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"savoryfall/core/event"
 	"savoryfall/core/field"
-	"savoryfall/io/stdout"
+	"savoryfall/io/logwriter"
 )
 
 type buffer struct {
@@ -36,7 +36,7 @@
 func TestLogWritesLogfmt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b buffer
-		l := stdout.New(&b)
+		l := logwriter.New(&b)
 		assert.NilError(t, l.Start(context.Background()))
 		assert.NilError(t, l.Log(field.Event, "x", field.Err, "two words"))
 		assert.NilError(t, l.Stop(context.Background()))
@@ -49,7 +49,7 @@
 func TestBurstIsLimitedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b buffer
-		l := stdout.New(&b)
+		l := logwriter.New(&b)
 		assert.NilError(t, l.Start(context.Background()))
 		for range 10000 {
 			assert.NilError(t, l.Log(field.Event, "burst"))
@@ -65,7 +65,7 @@
 func TestServedLinesLeaveRoomForFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b buffer
-		l := stdout.New(&b)
+		l := logwriter.New(&b)
 		assert.NilError(t, l.Start(context.Background()))
 		for range 1000 {
 			assert.NilError(t, l.Log(field.Time, 1, field.Event, event.RequestServed))
@@ -92,7 +92,7 @@
 func TestBlockedWriterDelaysNeitherLogNorStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := blockedWriter{release: make(chan struct{})}
-		l := stdout.New(w)
+		l := logwriter.New(w)
 		assert.NilError(t, l.Start(context.Background()))
 		began := time.Now()
 		for range 2000 {
--- a/io/operator/api.go
+++ b/io/operator/api.go
@@ -8,17 +8,17 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/gorilla/mux"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/decision"
 	"savoryfall/core/health"
-	"savoryfall/core/inforce"
 	"savoryfall/core/ledger"
 	"savoryfall/core/membership"
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 // Configuration provides the active configuration, and when and from where it was applied.
 type Configuration interface {
-	Current() *inforce.Configuration
+	Current() *activeconfig.Configuration
 	Ready() bool
 	AppliedAt() (at time.Time, source string)
 }
@@ -31,8 +31,8 @@
 	Members       *membership.Table
 	Ledger        *ledger.Ledger
 	Health        *health.Table
-	Decisions     *decision.Ring
-	Meter         *meter.Meter
+	Decisions     *decision.Log
+	Meter         *traffic.Meter
 	Metrics       *metrics.Set
 	Waiting       func() int
 	Claims        func() int
@@ -83,7 +83,7 @@
 
 // Endpoint is the state of an endpoint, as one router knows it.
 type Endpoint struct {
-	ledger.State
+	ledger.EndpointState
 	Health      health.State `json:"health"`
 	Incarnation string       `json:"incarnation"`
 	Address     string       `json:"address"`
@@ -100,7 +100,7 @@
 		Release: d.activeRelease(), Members: d.Members.Peers(), Waiting: d.Waiting(), Claims: d.Claims(),
 		ControlBytes: map[string]uint64{},
 	}
-	for _, k := range meter.Kinds {
+	for _, k := range traffic.AllKinds {
 		sent, received := d.Meter.Bytes(k)
 		s.ControlBytes[string(k)] = sent + received
 	}
@@ -109,7 +109,7 @@
 	for _, l := range d.Ledger.States() {
 		e, _ := c.Endpoint(l.Endpoint)
 		s.Endpoints = append(s.Endpoints, Endpoint{
-			State: l, Health: d.Health.State(l.Endpoint, now), Incarnation: d.Health.Incarnation(l.Endpoint),
+			EndpointState: l, Health: d.Health.State(l.Endpoint, now), Incarnation: d.Health.Incarnation(l.Endpoint),
 			Address: e.Address(),
 		})
 	}
@@ -118,7 +118,7 @@
 
 func (d *API) activeRelease() (r Release) {
 	c := d.Configuration.Current()
-	r = Release{Next: c.Next(), Note: c.Current(), Digest: c.Digest()}
+	r = Release{Next: c.NextOffset(), Note: c.CurrentNoteID(), Digest: c.Digest()}
 	r.AppliedAt, r.Source = d.Configuration.AppliedAt()
 	return r
 }
--- a/io/peer/agent.go
+++ b/io/peer/agent.go
@@ -10,24 +10,24 @@
 
 	"github.com/go-kit/log"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/annotate"
 	"savoryfall/core/background"
 	"savoryfall/core/claim"
 	"savoryfall/core/health"
-	"savoryfall/core/inforce"
 	"savoryfall/core/ledger"
 	"savoryfall/core/membership"
-	"savoryfall/core/spills"
-	"savoryfall/io/meter"
+	"savoryfall/core/overflow"
+	"savoryfall/io/traffic"
 )
 
 // Configuration is the replicated configuration that the agent reads and updates.
 type Configuration interface {
-	Current() *inforce.Configuration
+	Current() *activeconfig.Configuration
 	Ready() bool
-	Records(from int64, max int) [][]byte
-	Offer(offset int64, data []byte)
-	Listen(listener func(*inforce.Configuration))
+	RecordsFrom(from int64, max int) [][]byte
+	ApplyFromPeer(offset int64, data []byte)
+	OnChange(listener func(*activeconfig.Configuration))
 }
 
 // Prober probes an endpoint immediately, after a peer has reported a change of its state.
@@ -37,29 +37,29 @@
 
 // Claims claims idempotency keys on behalf of other routers.
 type Claims interface {
-	ClaimHere(ctx context.Context, c claim.Request) (g claim.Grant, err error)
-	SettleHere(ctx context.Context, g claim.Grant, result claim.Result)
+	ClaimLocally(ctx context.Context, c claim.Request) (g claim.Grant, err error)
+	SettleLocally(ctx context.Context, g claim.Grant, result claim.Result)
 }
 
-// Parts are the dependencies and settings of an Agent.
-type Parts struct {
-	Members       *membership.Table
-	Ledger        *ledger.Ledger
-	Health        *health.Table
-	Configuration Configuration
-	Prober        Prober
-	Claims        Claims
-	Spills        *spills.Table
-	Meter         *meter.Meter
-	Logger        log.Logger
-	TLS           *tls.Config
-	Period        time.Duration
-	Budget        int64
+// Config are the dependencies and settings of an Agent.
+type Config struct {
+	Members        *membership.Table
+	Ledger         *ledger.Ledger
+	Health         *health.Table
+	Configuration  Configuration
+	Prober         Prober
+	Claims         Claims
+	Spills         *overflow.Table
+	Meter          *traffic.Meter
+	Logger         log.Logger
+	TLS            *tls.Config
+	Period         time.Duration
+	BytesPerSecond int64
 }
 
 // Agent exchanges heartbeats, load digests, leaving marks and configuration offsets with the other routers.
 type Agent struct {
-	Parts
+	Config
 	listener      net.Listener
 	mu            sync.Mutex
 	connByPeer    map[string]*connection
@@ -67,7 +67,7 @@
 	closed        bool
 	acceptedConns map[net.Conn]bool
 	findings      map[string]*pendingFinding
-	marks         map[Mark]int
+	marks         map[LeavingMark]int
 	overBudget    bool
 	round         int
 	lastBytes     uint64
@@ -99,11 +99,11 @@
 )
 
 // New listens on the address immediately, so that Address is known before Start.
-func New(address string, p Parts) (a *Agent, err error) {
+func New(address string, p Config) (a *Agent, err error) {
 	defer annotate.Error(&err, "listen for peers on %s", address)
 	a = &Agent{
-		Parts: p, connByPeer: map[string]*connection{}, openConns: map[*connection]bool{}, acceptedConns: map[net.Conn]bool{},
-		findings: map[string]*pendingFinding{}, marks: map[Mark]int{},
+		Config: p, connByPeer: map[string]*connection{}, openConns: map[*connection]bool{}, acceptedConns: map[net.Conn]bool{},
+		findings: map[string]*pendingFinding{}, marks: map[LeavingMark]int{},
 		spillCursors: map[string]uint64{}, exchangeNow: make(chan struct{}, 1),
 	}
 	a.listener, err = net.Listen("tcp", address)
@@ -117,7 +117,7 @@
 func (a *Agent) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
-	a.Configuration.Listen(func(*inforce.Configuration) {
+	a.Configuration.OnChange(func(*activeconfig.Configuration) {
 		a.running.Go(func() { a.announceConfiguration(ctx) })
 	})
 	a.running.Go(a.serve)
@@ -171,10 +171,10 @@
 func (a *Agent) runPeriod(ctx context.Context) {
 	now := time.Now()
 	for _, name := range a.Members.Sweep(now) {
-		a.Ledger.Forget(name)
+		a.Ledger.RemovePeer(name)
 		_ = a.Logger.Log("event", "memberDead", "member", name)
 	}
-	a.Ledger.Expire(now)
+	a.Ledger.ExpirePeers(now)
 	a.updateBudget()
 	a.exchangeAll(ctx, a.targets(now))
 }
@@ -184,7 +184,7 @@
 // would break guarantees.
 func (a *Agent) updateBudget() {
 	var total uint64
-	for _, k := range meter.Kinds {
+	for _, k := range traffic.AllKinds {
 		sent, received := a.Meter.Bytes(k)
 		total += sent + received
 	}
@@ -194,7 +194,7 @@
 		byteRate := float64(total-a.lastBytes) / a.Period.Seconds()
 		a.byteRate += (byteRate - a.byteRate) * byteRateSmoothing
 	}
-	a.overBudget = a.byteRate > float64(a.Budget)
+	a.overBudget = a.byteRate > float64(a.BytesPerSecond)
 	a.lastBytes = total
 	a.round++
 }
@@ -287,23 +287,23 @@
 		var reply TryReply
 		err := a.call(ctx, helper, "Try", TryRequest{Target: target.Name}, &reply)
 		if err == nil && reply.Heard {
-			a.Members.Vouched(target.Name, time.Now())
+			a.Members.RecordIndirectContact(target.Name, time.Now())
 			return
 		}
 	}
-	a.Members.Missed(target.Name, time.Now())
+	a.Members.RecordMiss(target.Name, time.Now())
 }
 
 // newMessage collects the state to send to a peer; the request and the reply of an exchange have the same form.
 func (a *Agent) newMessage(to string) *GossipMessage {
 	c := a.Configuration.Current()
-	m := &GossipMessage{Self: a.Members.Self(), Next: c.Next(), Rumours: a.Members.Gossip(maxUpdates)}
+	m := &GossipMessage{Self: a.Members.Self(), Next: c.NextOffset(), Rumours: a.Members.Gossip(maxUpdates)}
 	m.Self.Address, m.Self.FailureDomain = "", ""
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.overBudget || a.round%2 == 0 {
 		m.Shape, m.Load = a.Ledger.Digest()
-		m.Spills, a.spillCursors[to] = a.Spills.Since(a.spillCursors[to], maxSpills)
+		m.Spills, a.spillCursors[to] = a.Spills.OwnSince(a.spillCursors[to], maxSpills)
 	}
 	a.addMarks(m)
 	a.addFindings(m, to, time.Now())
@@ -317,9 +317,9 @@
 	a.Members.Heard(m.Self, now)
 	a.Members.Rumours(m.Rumours, now)
 	if m.Load != nil {
-		a.Ledger.Peer(m.Self.Name, m.Shape, m.Load, now)
+		a.Ledger.SetPeerLoad(m.Self.Name, m.Shape, m.Load, now)
 	}
-	a.Spills.Take(m.Spills, now)
+	a.Spills.Merge(m.Spills, now)
 	for _, mark := range m.Marks {
 		a.receiveMark(mark)
 	}
@@ -331,7 +331,7 @@
 // announceConfiguration notifies a few random peers of a new configuration record at once, without waiting for the
 // next period.
 func (a *Agent) announceConfiguration(ctx context.Context) {
-	next := a.Configuration.Current().Next()
+	next := a.Configuration.Current().NextOffset()
 	peers := a.peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, p := range peers[:min(fanout, len(peers))] {
@@ -342,17 +342,17 @@
 
 // fetchRecords fetches configuration records from a peer that has newer ones.
 func (a *Agent) fetchRecords(ctx context.Context, p membership.Peer, next int64) {
-	for a.Configuration.Ready() && a.Configuration.Current().Next() < next {
-		from := a.Configuration.Current().Next()
+	for a.Configuration.Ready() && a.Configuration.Current().NextOffset() < next {
+		from := a.Configuration.Current().NextOffset()
 		var reply Records
 		err := a.call(ctx, p, "Records", RecordsRequest{From: from, Max: maxRecords}, &reply)
 		if err != nil || len(reply.Records) == 0 {
 			return
 		}
 		for i, data := range reply.Records {
-			a.Configuration.Offer(from+int64(i), data)
+			a.Configuration.ApplyFromPeer(from+int64(i), data)
 		}
-		if a.Configuration.Current().Next() == from {
+		if a.Configuration.Current().NextOffset() == from {
 			return
 		}
 	}
--- a/io/peer/agent_test.go
+++ b/io/peer/agent_test.go
@@ -13,23 +13,23 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/claim"
 	"savoryfall/core/health"
-	"savoryfall/core/inforce"
 	"savoryfall/core/ledger"
 	"savoryfall/core/membership"
-	"savoryfall/core/spills"
-	"savoryfall/io/meter"
+	"savoryfall/core/overflow"
+	"savoryfall/io/traffic"
 )
 
 // fixedConfiguration is a Configuration that never changes.
-type fixedConfiguration struct{ c inforce.Configuration }
+type fixedConfiguration struct{ c activeconfig.Configuration }
 
-func (n *fixedConfiguration) Current() *inforce.Configuration     { return &n.c }
-func (n *fixedConfiguration) Ready() bool                         { return true }
-func (n *fixedConfiguration) Records(int64, int) [][]byte         { return nil }
-func (n *fixedConfiguration) Offer(int64, []byte)                 {}
-func (n *fixedConfiguration) Listen(func(*inforce.Configuration)) {}
+func (n *fixedConfiguration) Current() *activeconfig.Configuration       { return &n.c }
+func (n *fixedConfiguration) Ready() bool                                { return true }
+func (n *fixedConfiguration) RecordsFrom(int64, int) [][]byte            { return nil }
+func (n *fixedConfiguration) ApplyFromPeer(int64, []byte)                {}
+func (n *fixedConfiguration) OnChange(func(*activeconfig.Configuration)) {}
 
 // blockingClaims reports each claim and each outcome that arrives, and blocks it until it is released, like a slow
 // log.
@@ -38,13 +38,13 @@
 	unblock chan struct{}
 }
 
-func (h *blockingClaims) ClaimHere(_ context.Context, c claim.Request) (g claim.Grant, err error) {
+func (h *blockingClaims) ClaimLocally(_ context.Context, c claim.Request) (g claim.Grant, err error) {
 	h.arrived <- c.Key
 	<-h.unblock
 	return claim.Grant{Claim: c}, nil
 }
 
-func (h *blockingClaims) SettleHere(_ context.Context, g claim.Grant, _ claim.Result) {
+func (h *blockingClaims) SettleLocally(_ context.Context, g claim.Grant, _ claim.Result) {
 	h.arrived <- g.Claim.Key
 	<-h.unblock
 }
@@ -60,14 +60,14 @@
 // newAgent starts an agent that starts no exchanges by itself.
 func newAgent(t *testing.T, name string, claims Claims, cfg *tls.Config) *Agent {
 	t.Helper()
-	members := membership.New(membership.Rumour{Name: name, Incarnation: 1}, time.Minute)
-	a, err := New("127.0.0.1:0", Parts{
+	members := membership.New(membership.Update{Name: name, Incarnation: 1}, time.Minute)
+	a, err := New("127.0.0.1:0", Config{
 		Members: members, Ledger: &ledger.Ledger{}, Health: &health.Table{}, Configuration: &fixedConfiguration{}, Claims: claims,
-		Spills: &spills.Table{}, Meter: meter.New(metrics.NewSet()), Logger: log.NewNopLogger(), TLS: cfg,
-		Period: time.Hour, Budget: 1 << 30,
+		Spills: &overflow.Table{}, Meter: traffic.New(metrics.NewSet()), Logger: log.NewNopLogger(), TLS: cfg,
+		Period: time.Hour, BytesPerSecond: 1 << 30,
 	})
 	assert.NilError(t, err)
-	members.ListensOn(a.Address())
+	members.SetAddress(a.Address())
 	assert.NilError(t, a.Start(t.Context()))
 	t.Cleanup(a.Kill)
 	return a
@@ -75,11 +75,11 @@
 
 // setMembers adds members with their addresses to an agent's member list.
 func setMembers(a *Agent, addresses map[string]string) {
-	var all []membership.Rumour
+	var all []membership.Update
 	for name, address := range addresses {
-		all = append(all, membership.Rumour{Name: name, Address: address, Incarnation: 1})
+		all = append(all, membership.Update{Name: name, Address: address, Incarnation: 1})
 	}
-	a.Members.Listed(all, time.Now())
+	a.Members.UpdateFromVMList(all, time.Now())
 }
 
 // silentAddress returns the address of a peer whose process has stopped: the kernel accepts connections, but nothing
--- a/io/peer/claims.go
+++ b/io/peer/claims.go
@@ -55,7 +55,7 @@
 func (s *Service) Claim(request claim.Request, reply *ClaimReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	g, err := s.agent.Claims.ClaimHere(ctx, request)
+	g, err := s.agent.Claims.ClaimLocally(ctx, request)
 	if errors.As(err, &reply.Refused) {
 		return nil
 	}
@@ -67,6 +67,6 @@
 func (s *Service) Settle(request SettleRequest, _ *Empty) error {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	s.agent.Claims.SettleHere(ctx, request.Grant, request.Result)
+	s.agent.Claims.SettleLocally(ctx, request.Grant, request.Result)
 	return nil
 }
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"savoryfall/core/membership"
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 const (
@@ -38,9 +38,9 @@
 // errPartitioned simulates a network partition; only tests enable one, with Cut.
 var errPartitioned = errors.New("no route to the peer")
 
-// Cut simulates a network partition between this router and the peers for which the function returns true; nil ends
+// SetPartition simulates a network partition between this router and the peers for which the function returns true; nil ends
 // it.
-func (a *Agent) Cut(partitioned func(name string) bool) {
+func (a *Agent) SetPartition(partitioned func(name string) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.partitioned = partitioned
@@ -169,7 +169,7 @@
 // another call and then makes its own.
 func (a *Agent) dial(ctx context.Context, name string, c *connection) {
 	defer c.cancel()
-	raw, err := a.Meter.Dial(meter.KindPeer)(ctx, "tcp", c.address)
+	raw, err := a.Meter.Dial(traffic.KindPeer)(ctx, "tcp", c.address)
 	if err == nil {
 		raw, err = a.handshake(ctx, raw, c.address)
 	}
--- a/io/peer/finding.go
+++ b/io/peer/finding.go
@@ -15,8 +15,8 @@
 	delivered map[string]bool
 }
 
-// SpreadFinding notifies the peers that an endpoint has gone down or has recovered.
-func (a *Agent) SpreadFinding(f Finding) {
+// BroadcastFinding notifies the peers that an endpoint has gone down or has recovered.
+func (a *Agent) BroadcastFinding(f Finding) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.findings[f.Endpoint] = &pendingFinding{down: f.Down, since: time.Now(), delivered: map[string]bool{}}
--- a/io/peer/finding_test.go
+++ b/io/peer/finding_test.go
@@ -24,7 +24,7 @@
 func TestFindingIsResentAfterFailedExchanges(t *testing.T) {
 	a := newAgent(t, "first", nil, nil)
 	setMembers(a, map[string]string{"second": refusingAddress(t)})
-	a.SpreadFinding(downFinding)
+	a.BroadcastFinding(downFinding)
 	for range 5 {
 		a.exchangeAll(t.Context(), a.peers())
 	}
@@ -35,7 +35,7 @@
 // at their first exchange.
 func TestFindingReachesMemberDiscoveredLater(t *testing.T) {
 	a := newAgent(t, "first", nil, nil)
-	a.SpreadFinding(downFinding)
+	a.BroadcastFinding(downFinding)
 	a.exchangeAll(t.Context(), a.peers())
 	setMembers(a, map[string]string{"second": refusingAddress(t)})
 	assert.DeepEqual(t, a.newMessage("second").Findings, []Finding{downFinding})
@@ -46,10 +46,10 @@
 func TestFindingIsSentOnce(t *testing.T) {
 	a, b := newAgent(t, "first", nil, nil), newAgent(t, "second", nil, nil)
 	setMembers(a, map[string]string{"second": b.Address()})
-	a.SpreadFinding(downFinding)
+	a.BroadcastFinding(downFinding)
 	a.exchangeAll(t.Context(), a.peers())
 	assert.Equal(t, len(a.newMessage("second").Findings), 0)
 	assert.Equal(t, len(a.newMessage("third").Findings), 1)
-	a.SpreadFinding(Finding{Endpoint: "engine-01"})
+	a.BroadcastFinding(Finding{Endpoint: "engine-01"})
 	assert.Equal(t, len(a.newMessage("second").Findings), 1)
 }
--- a/io/peer/marks.go
+++ b/io/peer/marks.go
@@ -14,14 +14,14 @@
 	}
 }
 
-func (a *Agent) receiveMark(m Mark) {
+func (a *Agent) receiveMark(m LeavingMark) {
 	if a.Health.MarkLeaving(m.Endpoint, m.Incarnation) {
-		a.SpreadMark(m)
+		a.BroadcastLeavingMark(m)
 	}
 }
 
-// SpreadMark sends a leaving mark several times to every peer.
-func (a *Agent) SpreadMark(m Mark) {
+// BroadcastLeavingMark sends a leaving mark several times to every peer.
+func (a *Agent) BroadcastLeavingMark(m LeavingMark) {
 	repeats := markRepeats * (len(a.peers()) + 1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/io/peer/message.go
+++ b/io/peer/message.go
@@ -7,18 +7,18 @@
 
 // GossipMessage is both the request and the reply of an exchange between two routers.
 type GossipMessage struct {
-	Self     membership.Rumour
+	Self     membership.Update
 	Next     int64
 	Shape    uint32
 	Load     []byte
-	Rumours  []membership.Rumour
-	Marks    []Mark
+	Rumours  []membership.Update
+	Marks    []LeavingMark
 	Findings []Finding
 	Spills   []byte
 }
 
-// Mark reports that an incarnation of an endpoint is leaving.
-type Mark struct {
+// LeavingMark reports that an incarnation of an endpoint is leaving.
+type LeavingMark struct {
 	Endpoint    string
 	Incarnation string
 }
@@ -36,7 +36,7 @@
 	Max  int
 }
 
-// Records contains raw configuration records; the first one is at the requested offset.
+// RecordsFrom contains raw configuration records; the first one is at the requested offset.
 type Records struct {
 	Records [][]byte
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -7,7 +7,7 @@
 	"net/rpc"
 	"time"
 
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 func (a *Agent) serve() {
@@ -37,7 +37,7 @@
 		setDrainDeadline(raw)
 	}
 	a.connHandlers.Go(func() {
-		c := a.Meter.Conn(meter.KindPeer, raw)
+		c := a.Meter.CountBytes(traffic.KindPeer, raw)
 		if a.TLS != nil {
 			c = tls.Server(c, a.TLS)
 		}
--- a/io/peer/service.go
+++ b/io/peer/service.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/annotate"
-	"savoryfall/core/inforce"
 	"savoryfall/core/membership"
 )
 
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// Records returns raw configuration records.
+// RecordsFrom returns raw configuration records.
 func (s *Service) Records(request RecordsRequest, reply *Records) error {
-	reply.Records = s.agent.Configuration.Records(request.From, min(request.Max, maxRecords))
+	reply.Records = s.agent.Configuration.RecordsFrom(request.From, min(request.Max, maxRecords))
 	return nil
 }
 
@@ -71,7 +71,7 @@
 	}
 	c := s.agent.Configuration.Current()
 	reply.Data, err = c.Snapshot()
-	reply.Digest, reply.Next = c.Digest(), c.Next()
+	reply.Digest, reply.Next = c.Digest(), c.NextOffset()
 	return err
 }
 
@@ -88,13 +88,13 @@
 const snapshotTimeout = 10 * time.Second
 
 // Snapshot requests the configuration in force from the peers and returns the one with the highest offset.
-func (a *Agent) Snapshot(ctx context.Context) (best *inforce.Configuration, err error) {
+func (a *Agent) Snapshot(ctx context.Context) (best *activeconfig.Configuration, err error) {
 	defer annotate.Error(&err, "fetch the configuration from peers")
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	for _, p := range a.peers() {
 		c, err := a.fetchSnapshot(ctx, p)
-		if err == nil && (best == nil || c.Next() > best.Next()) {
+		if err == nil && (best == nil || c.NextOffset() > best.NextOffset()) {
 			best = c
 		}
 	}
@@ -104,17 +104,17 @@
 	return best, nil
 }
 
-func (a *Agent) fetchSnapshot(ctx context.Context, p membership.Peer) (c *inforce.Configuration, err error) {
+func (a *Agent) fetchSnapshot(ctx context.Context, p membership.Peer) (c *activeconfig.Configuration, err error) {
 	var reply Snapshot
 	err = a.call(ctx, p, "Snapshot", Empty{}, &reply)
 	if err != nil {
 		return nil, err
 	}
-	c, err = inforce.Restore(reply.Data)
+	c, err = activeconfig.Restore(reply.Data)
 	if err != nil {
 		return nil, err
 	}
-	if c.Digest() != reply.Digest || c.Next() != reply.Next {
+	if c.Digest() != reply.Digest || c.NextOffset() != reply.Next {
 		return nil, errors.New("snapshot does not match the digest or offset that the peer reported")
 	}
 	return c, nil
--- a/io/platformlog/log.go
+++ b/io/platformlog/log.go
@@ -17,22 +17,22 @@
 // maxResponseBytes limits the size of a response, so that a faulty service cannot exhaust the memory.
 const maxResponseBytes = 64 << 20
 
-// Log is a client of the log service. It never retries an append, because the first one may have taken effect.
-type Log struct {
+// Client is a client of the log service. It never retries an append, because the first one may have taken effect.
+type Client struct {
 	base   string
 	client *http.Client
 }
 
 // New creates a client of the service at the base URL. The transport of client is expected to measure and limit the
 // traffic.
-func New(base string, client *http.Client) *Log {
-	return &Log{base: base, client: client}
+func New(base string, client *http.Client) *Client {
+	return &Client{base: base, client: client}
 }
 
 // Record is one record of a stream.
 type Record struct {
 	Offset int64     `json:"offset"`
-	At     time.Time `json:"at"`
+	Time   time.Time `json:"at"`
 	Data   []byte    `json:"data"`
 }
 
@@ -51,7 +51,7 @@
 }
 
 // Append adds a record. After an error other than a StatusError it is unknown whether the record was added.
-func (l *Log) Append(ctx context.Context, stream string, data []byte) (offset int64, err error) {
+func (l *Client) Append(ctx context.Context, stream string, data []byte) (offset int64, err error) {
 	defer annotate.Error(&err, "append to stream %s", stream)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, l.url(stream, nil), bytes.NewReader(data))
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 // Read reads up to max records from the offset on. If there is none, it waits for one for up to wait.
-func (l *Log) Read(ctx context.Context, stream string, from int64, max int, wait time.Duration) (p Page, err error) {
+func (l *Client) Read(ctx context.Context, stream string, from int64, max int, wait time.Duration) (p Page, err error) {
 	defer annotate.Error(&err, "read stream %s from %d", stream, from)
 	q := url.Values{}
 	q.Set("from", strconv.FormatInt(from, 10))
@@ -84,7 +84,7 @@
 	return p, err
 }
 
-func (l *Log) url(stream string, q url.Values) string {
+func (l *Client) url(stream string, q url.Values) string {
 	u := l.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
 	if len(q) == 0 {
 		return u
@@ -92,7 +92,7 @@
 	return u + "?" + q.Encode()
 }
 
-func (l *Log) do(r *http.Request, result any) (err error) {
+func (l *Client) do(r *http.Request, result any) (err error) {
 	resp, err := l.client.Do(r)
 	if err != nil {
 		return err
@@ -103,17 +103,17 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return StatusError{Status: resp.StatusCode, Text: string(bytes.TrimSpace(body))}
+		return StatusError{Status: resp.StatusCode, Message: string(bytes.TrimSpace(body))}
 	}
 	return json.Unmarshal(body, result)
 }
 
 // StatusError reports a response with a status other than 200. The service guarantees that the request had no effect.
 type StatusError struct {
-	Status int
-	Text   string
+	Status  int
+	Message string
 }
 
 func (e StatusError) Error() string {
-	return fmt.Sprintf("the log service answered %d: %s", e.Status, e.Text)
+	return fmt.Sprintf("the log service answered %d: %s", e.Status, e.Message)
 }
--- a/io/probe/keeper.go
+++ b/io/probe/keeper.go
@@ -12,19 +12,19 @@
 
 	"github.com/go-kit/log"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/background"
 	"savoryfall/core/health"
-	"savoryfall/core/inforce"
 	"savoryfall/core/ledger"
 	"savoryfall/core/outcome"
 	"savoryfall/core/report"
 	"savoryfall/io/endpoint"
-	"savoryfall/io/meter"
+	"savoryfall/io/traffic"
 )
 
 // Duties determines which endpoints this router probes.
 type Duties interface {
-	Mine(duty string, n int) bool
+	Assigned(duty string, n int) bool
 }
 
 // Gossip passes changes of endpoints on to the other routers.
@@ -33,8 +33,8 @@
 	Mark(endpoint, incarnation string)
 }
 
-// Keeper collects reports and failures of endpoints, and decides whether the endpoints may receive new requests.
-type Keeper struct {
+// Prober collects reports and failures of endpoints, and decides whether the endpoints may receive new requests.
+type Prober struct {
 	health *health.Table
 	ledger *ledger.Ledger
 	duties Duties
@@ -45,7 +45,7 @@
 	maturity time.Duration
 	client   *http.Client
 	mu       sync.Mutex
-	current  *inforce.Configuration
+	current  *activeconfig.Configuration
 	states   map[string]health.State
 	probing  map[string]bool
 	repeat   map[string]bool
@@ -70,22 +70,22 @@
 )
 
 // New returns a keeper that probes through the meter's HTTP transport.
-func New(h *health.Table, l *ledger.Ledger, m *meter.Meter, period, maturity time.Duration, logger log.Logger) *Keeper {
-	return &Keeper{
-		health: h, ledger: l, period: period, maturity: maturity, logger: logger, current: &inforce.Configuration{},
+func New(h *health.Table, l *ledger.Ledger, m *traffic.Meter, period, maturity time.Duration, logger log.Logger) *Prober {
+	return &Prober{
+		health: h, ledger: l, period: period, maturity: maturity, logger: logger, current: &activeconfig.Configuration{},
 		states: map[string]health.State{}, probing: map[string]bool{}, repeat: map[string]bool{},
 		client: &http.Client{
-			Transport: m.Transport(meter.KindProbe),
+			Transport: m.Transport(traffic.KindProbe),
 			Timeout:   time.Duration(timeoutShare * float64(period)),
 		},
 	}
 }
 
-// Use sets who assigns the probe duties and who passes changes on; it must be called before Start.
-func (k *Keeper) Use(d Duties, g Gossip) { k.duties, k.gossip = d, g }
+// SetPeers sets who assigns the probe duties and who passes changes on; it must be called before Start.
+func (k *Prober) SetPeers(d Duties, g Gossip) { k.duties, k.gossip = d, g }
 
 // Configure sets the endpoints in force.
-func (k *Keeper) Configure(c *inforce.Configuration) {
+func (k *Prober) Configure(c *activeconfig.Configuration) {
 	endpoints := c.Endpoints()
 	names := make([]string, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -99,7 +99,7 @@
 }
 
 // Start updates states and probes in the background until Stop.
-func (k *Keeper) Start(context.Context) error {
+func (k *Prober) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	k.cancel = cancel
 	k.running.Go(func() { k.loop(ctx) })
@@ -107,14 +107,14 @@
 }
 
 // Stop ends the probes.
-func (k *Keeper) Stop(context.Context) error {
+func (k *Prober) Stop(context.Context) error {
 	k.cancel()
 	k.running.Stop()
 	k.client.CloseIdleConnections()
 	return nil
 }
 
-func (k *Keeper) loop(ctx context.Context) {
+func (k *Prober) loop(ctx context.Context) {
 	n := 0
 	background.Every(ctx, k.period/sweepsPerPeriod, func(time.Time) {
 		k.sweep()
@@ -123,34 +123,34 @@
 	})
 }
 
-func (k *Keeper) configuration() *inforce.Configuration {
+func (k *Prober) configuration() *activeconfig.Configuration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.current
 }
 
 // sweep updates the states of all endpoints, since states also change with time alone.
-func (k *Keeper) sweep() {
+func (k *Prober) sweep() {
 	for _, e := range k.configuration().Endpoints() {
 		k.updateState(e.Name())
 	}
 }
 
 // updateState passes the state of an endpoint to the placement, and reports a change to the peers.
-func (k *Keeper) updateState(name string) {
+func (k *Prober) updateState(name string) {
 	state := k.health.State(name, time.Now())
 	k.mu.Lock()
 	before, known := k.states[name]
 	k.states[name] = state
 	k.mu.Unlock()
 	k.ledger.SetState(name, state)
-	k.ledger.SetYoung(name, k.health.Young(name, k.maturity, time.Now()))
+	k.ledger.SetRecentlyStarted(name, k.health.RecentlyStarted(name, k.maturity, time.Now()))
 	if known && before == state || !known && state == health.Up {
 		return
 	}
 	_ = k.logger.Log("event", "endpointState", "endpoint", name, "state", state, "before", before)
 	switch {
-	case state == health.Leaving && k.health.Marked(name):
+	case state == health.Leaving && k.health.KnownLeaving(name):
 		k.gossip.Mark(name, k.health.Incarnation(name))
 	case state == health.Down:
 		k.gossip.Finding(name, true)
@@ -160,12 +160,12 @@
 }
 
 // probeDue probes the endpoints that haven't answered for a period, spread over the sweeps of the period.
-func (k *Keeper) probeDue(ctx context.Context, n int) {
+func (k *Prober) probeDue(ctx context.Context, n int) {
 	for i, e := range k.configuration().Endpoints() {
-		if i%sweepsPerPeriod != n%sweepsPerPeriod || time.Since(k.health.HeardAt(e.Name())) < k.period {
+		if i%sweepsPerPeriod != n%sweepsPerPeriod || time.Since(k.health.LastAnsweredAt(e.Name())) < k.period {
 			continue
 		}
-		if k.duties.Mine("probe/"+e.Name(), probersPerEndpoint) || k.health.HeardAt(e.Name()).IsZero() || k.downProbeDue(e.Name(), n) {
+		if k.duties.Assigned("probe/"+e.Name(), probersPerEndpoint) || k.health.LastAnsweredAt(e.Name()).IsZero() || k.downProbeDue(e.Name(), n) {
 			k.startProbe(ctx, e.Name(), e.Address())
 		}
 	}
@@ -174,14 +174,14 @@
 // downProbeDue reports whether this router should probe an endpoint that it considers down although it has no duty to.
 // If only the network between this router and the endpoint had failed, the routers with the duty have seen neither the
 // failure nor the recovery, and will never report either.
-func (k *Keeper) downProbeDue(name string, n int) bool {
+func (k *Prober) downProbeDue(name string, n int) bool {
 	return n/sweepsPerPeriod%downProbePeriods == 0 && k.health.State(name, time.Now()) == health.Down
 }
 
 // ProbeNow probes an endpoint immediately, whichever router has the duty. If a probe is already in progress, another
 // one follows: the first may return a response that the endpoint sent before the reported event, and a router without
 // the duty would not probe again.
-func (k *Keeper) ProbeNow(name string) {
+func (k *Prober) ProbeNow(name string) {
 	e, ok := k.configuration().Endpoint(name)
 	if !ok {
 		return
@@ -192,7 +192,7 @@
 	k.startProbe(context.Background(), name, e.Address())
 }
 
-func (k *Keeper) startProbe(ctx context.Context, name, address string) {
+func (k *Prober) startProbe(ctx context.Context, name, address string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.probing[name] {
@@ -207,7 +207,7 @@
 }
 
 // probeDone records the end of a probe, and reports whether another one was requested in the meantime.
-func (k *Keeper) probeDone(name string) (repeat bool) {
+func (k *Prober) probeDone(name string) (repeat bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	repeat = k.repeat[name]
@@ -218,7 +218,7 @@
 	return repeat
 }
 
-func (k *Keeper) probe(ctx context.Context, name, address string) {
+func (k *Prober) probe(ctx context.Context, name, address string) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+reportPath, nil)
 	if err != nil {
 		return
@@ -244,7 +244,7 @@
 
 // Heard applies the report from the response to a request sent at sentAt. If the endpoint is considered down, because
 // an attempt has failed in the meantime, a probe determines which of the two is newer.
-func (k *Keeper) Heard(name string, r report.Report, sentAt, at time.Time) {
+func (k *Prober) Heard(name string, r report.Report, sentAt, at time.Time) {
 	restarted := k.health.Heard(name, r.Incarnation, r.Leaving, sentAt)
 	if k.health.State(name, at) == health.Down {
 		k.ProbeNow(name)
@@ -258,7 +258,7 @@
 
 // Failed applies a failed attempt. A refused connection proves that the endpoint is down, whereas other failures may
 // be caused by the request.
-func (k *Keeper) Failed(name string, f *endpoint.AttemptError) {
+func (k *Prober) Failed(name string, f *endpoint.AttemptError) {
 	if errors.Is(f.Cause, context.Canceled) || errors.Is(f.Cause, context.DeadlineExceeded) {
 		return
 	}
@@ -270,13 +270,13 @@
 }
 
 // MarkLeaving applies a leaving mark that another router has observed.
-func (k *Keeper) MarkLeaving(name, incarnation string) {
+func (k *Prober) MarkLeaving(name, incarnation string) {
 	k.health.MarkLeaving(name, incarnation)
 	k.updateState(name)
 }
 
-// Listed applies whether the VM list shows the endpoint as leaving.
-func (k *Keeper) Listed(name string, leaving bool) {
+// UpdateFromVMList applies whether the VM list shows the endpoint as leaving.
+func (k *Prober) UpdateFromVMList(name string, leaving bool) {
 	k.health.Listed(name, leaving)
 	k.updateState(name)
 }
--- a/io/probe/keeper_test.go
+++ b/io/probe/keeper_test.go
@@ -13,22 +13,22 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/health"
-	"savoryfall/core/inforce"
 	"savoryfall/core/ledger"
 	"savoryfall/core/outcome"
 	"savoryfall/core/report"
 	"savoryfall/io/endpoint"
-	"savoryfall/io/meter"
 	"savoryfall/io/probe"
+	"savoryfall/io/traffic"
 )
 
 // noDuty is a router that has no probe duties and whose peers receive nothing.
 type noDuty struct{}
 
-func (noDuty) Mine(string, int) bool { return false }
-func (noDuty) Finding(string, bool)  {}
-func (noDuty) Mark(string, string)   {}
+func (noDuty) Assigned(string, int) bool { return false }
+func (noDuty) Finding(string, bool)      {}
+func (noDuty) Mark(string, string)       {}
 
 // blockingHandler is an endpoint that delays its responses until they are released; each uses a new connection.
 type blockingHandler struct {
@@ -47,12 +47,12 @@
 const longPeriod = time.Hour
 
 // newKeeper starts a keeper with a single endpoint, engine-01, at the server's address.
-func newKeeper(t *testing.T, s *httptest.Server, period time.Duration) (k *probe.Keeper, h *health.Table) {
+func newKeeper(t *testing.T, s *httptest.Server, period time.Duration) (k *probe.Prober, h *health.Table) {
 	t.Helper()
 	h = &health.Table{}
-	k = probe.New(h, &ledger.Ledger{}, meter.New(metrics.NewSet()), period, 0, log.NewNopLogger())
-	k.Use(noDuty{}, noDuty{})
-	c, err := (&inforce.Configuration{}).Apply(0, inforce.NoteRecord(fmt.Sprintf(
+	k = probe.New(h, &ledger.Ledger{}, traffic.New(metrics.NewSet()), period, 0, log.NewNopLogger())
+	k.SetPeers(noDuty{}, noDuty{})
+	c, err := (&activeconfig.Configuration{}).Apply(0, activeconfig.NoteRecord(fmt.Sprintf(
 		"id = \"first\"\n[[added.models]]\nname = \"m\"\n[[added.endpoints]]\nname = \"engine-01\"\naddress = %q\n"+
 			"failureDomain = \"a\"\nmodels = [\"m\"]\n", s.Listener.Addr())))
 	assert.NilError(t, err)
@@ -111,7 +111,7 @@
 	defer s.Close()
 	k, h := newKeeper(t, s, 100*time.Millisecond)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if h.HeardAt("engine-01").IsZero() {
+		if h.LastAnsweredAt("engine-01").IsZero() {
 			return poll.Continue("the endpoint has not answered")
 		}
 		return poll.Success()
--- a/io/registry/keeper.go
+++ b/io/registry/keeper.go
@@ -6,22 +6,22 @@
 
 	"github.com/go-kit/log"
 
-	"savoryfall/core/board"
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/directory"
 	"savoryfall/core/event"
 	"savoryfall/core/field"
-	"savoryfall/core/keyed"
+	"savoryfall/core/fleetload"
 )
 
 // Decoder decodes the entry of an endpoint from a record.
 type Decoder interface {
-	Decode(r keyed.Record) (e directory.Entry, err error)
+	Decode(r compactedlog.Record) (e directory.Entry, err error)
 }
 
-// Keeper updates the directory and reports its changes.
-type Keeper struct {
+// Tracker updates the directory and reports its changes.
+type Tracker struct {
 	decoder Decoder
-	changes board.Changes
+	changes fleetload.ChangeLog
 	changed func(usable []directory.Entry)
 	logger  log.Logger
 
@@ -34,15 +34,15 @@
 }
 
 // New returns a keeper that calls changed with the usable endpoints whenever they change.
-func New(d Decoder, changed func(usable []directory.Entry), logger log.Logger) *Keeper {
-	return &Keeper{decoder: d, changed: changed, logger: logger}
+func New(d Decoder, changed func(usable []directory.Entry), logger log.Logger) *Tracker {
+	return &Tracker{decoder: d, changed: changed, logger: logger}
 }
 
 // Changes returns the changes to send to routers that follow the endpoints through this one.
-func (k *Keeper) Changes() *board.Changes { return &k.changes }
+func (k *Tracker) Changes() *fleetload.ChangeLog { return &k.changes }
 
-// Feed applies changes received from another router; complete is set if they are the complete list.
-func (k *Keeper) Feed(changes []board.Change, complete bool) {
+// ApplyChanges applies changes received from another router; complete is set if they are the complete list.
+func (k *Tracker) ApplyChanges(changes []fleetload.Change, complete bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -58,7 +58,7 @@
 	k.publish(changed)
 }
 
-func usableEntries(changes []board.Change) (entries []directory.Entry) {
+func usableEntries(changes []fleetload.Change) (entries []directory.Entry) {
 	for _, c := range changes {
 		if c.Usable {
 			entries = append(entries, c.Entry)
@@ -68,7 +68,7 @@
 }
 
 // Replace applies the complete list of entries.
-func (k *Keeper) Replace(records []keyed.Record) {
+func (k *Tracker) Replace(records []compactedlog.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var entries []directory.Entry
@@ -85,7 +85,7 @@
 }
 
 // Apply applies the records that endpoints have written since the last read.
-func (k *Keeper) Apply(records []keyed.Record) {
+func (k *Tracker) Apply(records []compactedlog.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed := false
@@ -95,7 +95,7 @@
 	k.publish(changed)
 }
 
-func (k *Keeper) apply(r keyed.Record) (changed bool) {
+func (k *Tracker) apply(r compactedlog.Record) (changed bool) {
 	now := time.Now()
 	if r.Removed {
 		return k.directory.Remove(r.Key, now)
@@ -111,7 +111,7 @@
 }
 
 // logColdUnknown logs, once per process, that an entry does not say how long its endpoint is cold.
-func (k *Keeper) logColdUnknown(r keyed.Record, e directory.Entry) {
+func (k *Tracker) logColdUnknown(r compactedlog.Record, e directory.Entry) {
 	born, known := k.coldUnknown[e.ID]
 	if !e.ColdUnknown || known && born == e.Born {
 		return
@@ -123,26 +123,26 @@
 	_ = k.logger.Log(field.Event, event.EntryColdUnreadable, field.Endpoint, e.ID, field.Born, e.Born, field.Offset, r.Offset)
 }
 
-func (k *Keeper) logUnreadable(r keyed.Record, err error) {
+func (k *Tracker) logUnreadable(r compactedlog.Record, err error) {
 	_ = k.logger.Log(field.Event, event.EntryUnreadable, field.Endpoint, r.Key, field.Offset, r.Offset, field.Err, err)
 }
 
 // Read removes the entries that have not come back after an outage.
-func (k *Keeper) Read(time.Duration) {
+func (k *Tracker) Read(time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.publish(k.directory.ExpireVanished(time.Now()))
 }
 
 // Failed keeps vanished entries for a while, since endpoints cannot renew them during an outage.
-func (k *Keeper) Failed(error) {
+func (k *Tracker) Failed(error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.directory.ReadFailed(time.Now())
 }
 
 // publish passes on the usable endpoints, and records and logs those that were added, changed or removed.
-func (k *Keeper) publish(changed bool) {
+func (k *Tracker) publish(changed bool) {
 	if !changed {
 		return
 	}
@@ -155,7 +155,7 @@
 		if known && old == e {
 			continue
 		}
-		k.changes.Put(board.Change{Entry: e, Usable: true})
+		k.changes.Add(fleetload.Change{Entry: e, Usable: true})
 		if !known {
 			_ = k.logger.Log(field.Event, event.EndpointUsable, field.Endpoint, e.ID, field.Service, e.Service, field.Address, e.Address, field.Born, e.Born)
 		}
@@ -165,7 +165,7 @@
 			continue
 		}
 		e.Leaving = k.directory.Leaving(id)
-		k.changes.Put(board.Change{Entry: e})
+		k.changes.Add(fleetload.Change{Entry: e})
 		_ = k.logger.Log(field.Event, event.EndpointGone, field.Endpoint, id, field.Service, e.Service, field.Address, e.Address)
 	}
 	k.published = current
--- a/io/registry/keeper_test.go
+++ b/io/registry/keeper_test.go
@@ -7,8 +7,8 @@
 	"github.com/go-kit/log"
 	"gotest.tools/v3/assert"
 
-	"savoryfall/core/board"
 	"savoryfall/core/directory"
+	"savoryfall/core/fleetload"
 	"savoryfall/io/registry"
 )
 
@@ -21,12 +21,12 @@
 	var usable []directory.Entry
 	k := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
 	stays, leaves, lapsed := directory.Entry{ID: "a", Born: 1}, directory.Entry{ID: "b", Born: 1}, directory.Entry{ID: "c", Born: 1}
-	k.Feed([]board.Change{{Entry: stays, Usable: true}, {Entry: leaves, Usable: true}, {Entry: lapsed, Usable: true}}, true)
+	k.ApplyChanges([]fleetload.Change{{Entry: stays, Usable: true}, {Entry: leaves, Usable: true}, {Entry: lapsed, Usable: true}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{stays, leaves, lapsed})
 	k.Failed(errUnavailable)
 	leaving := leaves
 	leaving.Leaving = true
-	k.Feed([]board.Change{{Entry: stays, Usable: true}, {Entry: leaving}}, true)
+	k.ApplyChanges([]fleetload.Change{{Entry: stays, Usable: true}, {Entry: leaving}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{stays, lapsed})
 }
 
@@ -35,8 +35,8 @@
 	var usable []directory.Entry
 	k := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
 	now := directory.Entry{ID: "a", Born: 2}
-	k.Feed([]board.Change{{Entry: now, Usable: true}}, true)
+	k.ApplyChanges([]fleetload.Change{{Entry: now, Usable: true}}, true)
 	k.Failed(errUnavailable)
-	k.Feed([]board.Change{{Entry: directory.Entry{ID: "a", Born: 1, Leaving: true}}}, true)
+	k.ApplyChanges([]fleetload.Change{{Entry: directory.Entry{ID: "a", Born: 1, Leaving: true}}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{now})
 }
--- a/io/orders/doc.go
+++ b/io/rollout/doc.go
@@ -1,2 +1,2 @@
 // Package orders sends load orders to engines under a lease, until they report that they have loaded the wanted versions.
-package orders
+package rollout
--- a/io/orders/reconciler.go
+++ b/io/rollout/reconciler.go
@@ -1,4 +1,4 @@
-package orders
+package rollout
 
 import (
 	"bytes"
@@ -12,13 +12,13 @@
 	"github.com/go-kit/log"
 	"golang.org/x/time/rate"
 
+	"savoryfall/core/activeconfig"
 	"savoryfall/core/annotate"
 	"savoryfall/core/background"
 	"savoryfall/core/endpoint"
 	"savoryfall/core/health"
-	"savoryfall/core/inforce"
-	"savoryfall/core/orders"
 	"savoryfall/core/report"
+	"savoryfall/core/rollout"
 )
 
 // Leases grants the right to act for a duty.
@@ -29,7 +29,7 @@
 
 // Configuration returns the configuration in force.
 type Configuration interface {
-	Current() *inforce.Configuration
+	Current() *activeconfig.Configuration
 }
 
 // Health returns the health state of an engine.
@@ -105,16 +105,16 @@
 	}
 }
 
-func wantedVersions(c *inforce.Configuration) (wanted []orders.Wanted) {
+func wantedVersions(c *activeconfig.Configuration) (wanted []rollout.WantedVersion) {
 	for _, v := range c.Versions() {
-		wanted = append(wanted, orders.Wanted{Model: v.Model(), Name: v.Name(), Replicas: v.Replicas()})
+		wanted = append(wanted, rollout.WantedVersion{Model: v.Model(), Name: v.Name(), Replicas: v.Replicas()})
 	}
 	return wanted
 }
 
-func (rc *Reconciler) reconcileDomain(ctx context.Context, domain string, wanted []orders.Wanted, engines []endpoint.Endpoint) {
+func (rc *Reconciler) reconcileDomain(ctx context.Context, domain string, wanted []rollout.WantedVersion, engines []endpoint.Endpoint) {
 	byName := map[string]endpoint.Endpoint{}
-	var reported []orders.Engine
+	var reported []rollout.Engine
 	for _, e := range engines {
 		if rc.health.State(e.Name(), time.Now()) != health.Up {
 			continue
@@ -124,9 +124,9 @@
 			continue
 		}
 		byName[e.Name()] = e
-		reported = append(reported, orders.Engine{Name: e.Name(), Models: e.Models(), Loaded: r.Loaded})
+		reported = append(reported, rollout.Engine{Name: e.Name(), Models: e.Models(), Loaded: r.Loaded})
 	}
-	for _, o := range orders.Plan(wanted, reported, int(rc.loadLimiter.Tokens())) {
+	for _, o := range rollout.Plan(wanted, reported, int(rc.loadLimiter.Tokens())) {
 		if o.Loads > 0 && !rc.loadLimiter.AllowN(time.Now(), o.Loads) {
 			continue
 		}
@@ -156,7 +156,7 @@
 
 // sendOrder sends one order. It checks the lease again right before: an engine that does not check fencing tokens would accept an
 // order from a router that was paused since the comparison and has lost the lease.
-func (rc *Reconciler) sendOrder(ctx context.Context, domain string, e endpoint.Endpoint, o orders.Order) (err error) {
+func (rc *Reconciler) sendOrder(ctx context.Context, domain string, e endpoint.Endpoint, o rollout.Order) (err error) {
 	defer annotate.Error(&err, "order to %s", e.Name())
 	ctx, cancel := context.WithTimeout(ctx, rc.maxDuration)
 	defer cancel()
--- a/io/router/files.go
+++ b/io/router/files.go
@@ -97,7 +97,7 @@
 		_, peersErr = mutualTLS(s.Peers().Certificate(), s.Peers().Key(), s.Peers().Authority())
 	}
 	_, platformErr := clientTLS(s.Platform().Authority())
-	_, ticketErr := readSecret(s.Routing().TicketKey())
+	_, ticketErr := readSecret(s.Routing().TicketKeyFile())
 	return errors.Join(
 		withKey("callers.certificate", callersErr), withKey("operators.certificate", operatorsErr),
 		withKey("peers.certificate", peersErr), withKey("platform.authority", platformErr), withKey("routing.ticketKeyFile", ticketErr),
--- a/io/router/router.go
+++ b/io/router/router.go
@@ -13,14 +13,14 @@
 	"savoryfall/core/annotate"
 	"savoryfall/core/decision"
 	"savoryfall/core/health"
-	"savoryfall/core/kernel"
 	"savoryfall/core/lease"
 	"savoryfall/core/ledger"
+	"savoryfall/core/lifecycle"
 	"savoryfall/core/membership"
+	"savoryfall/core/overflow"
 	"savoryfall/core/placement"
-	"savoryfall/core/retry"
+	"savoryfall/core/retrybudget"
 	"savoryfall/core/settings"
-	"savoryfall/core/spills"
 	"savoryfall/core/ticket"
 	"savoryfall/core/tokens"
 	"savoryfall/io/caller"
@@ -29,19 +29,19 @@
 	"savoryfall/io/endpoint"
 	"savoryfall/io/httpserver"
 	"savoryfall/io/leases"
-	"savoryfall/io/meter"
 	"savoryfall/io/operator"
-	"savoryfall/io/orders"
 	"savoryfall/io/peer"
 	"savoryfall/io/platformlog"
 	"savoryfall/io/probe"
+	"savoryfall/io/rollout"
 	"savoryfall/io/tracing"
+	"savoryfall/io/traffic"
 	"savoryfall/io/vmlist"
 )
 
 // Router is one router; a process may run several.
 type Router struct {
-	kernel   kernel.Kernel
+	kernel   lifecycle.Manager
 	settings *settings.Settings
 	logger   log.Logger
 }
@@ -90,7 +90,7 @@
 	s := r.settings
 	set := metrics.NewSet()
 	r.kernel.Register(nameMetrics, set)
-	r.kernel.Register(nameMeter, meter.New(set))
+	r.kernel.Register(nameMeter, traffic.New(set))
 	traces, err := tracing.New(context.Background(), s.VM().Name(), s.Traces().OTLP(), s.Traces().File())
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 
 func (r *Router) buildState() (err error) {
 	v := r.settings.VM()
-	self := membership.Rumour{
+	self := membership.Update{
 		Name: v.Name(), FailureDomain: v.FailureDomain(), Incarnation: uint64(time.Since(incarnationEpoch) / time.Second),
 	}
 	r.kernel.Register(nameMembers, membership.New(self, suspicionHalfPeriods*r.settings.Peers().Period()/2))
@@ -117,28 +117,28 @@
 	r.kernel.Register(nameLedger, &ledger.Ledger{})
 	r.kernel.Register(nameProbe, probe.New(r.health(), r.ledger(), r.meter(), r.settings.Routing().ProbePeriod(),
 		r.settings.Routing().Maturity(), r.logger))
-	r.kernel.Register(nameSpills, &spills.Table{})
+	r.kernel.Register(nameSpills, &overflow.Table{})
 	return nil
 }
 
 func (r *Router) buildConfiguration() (err error) {
 	s := r.settings
-	client, err := r.platformClient(meter.KindLog)
+	client, err := r.platformClient(traffic.KindLog)
 	if err != nil {
 		return err
 	}
 	l := platformlog.New(s.Platform().Log(), client)
 	r.kernel.Register(nameLog, l)
 	f := configuration.New(l, r.logger)
-	f.Listen(r.probe().Configure)
+	f.OnChange(r.probe().Configure)
 	r.kernel.Register(nameConfiguration, f)
 	r.kernel.Register(nameClaims, claims.New(l, s.VM().Name(), s.Claims().Partitions(),
-		s.Claims().Window(), s.Claims().Term(), r.logger))
+		s.Claims().KeyRetention(), s.Claims().Validity(), r.logger))
 	return nil
 }
 
 // platformClient returns a client whose requests carry the name of this VM, for the platform's own records.
-func (r *Router) platformClient(k meter.Kind) (c *http.Client, err error) {
+func (r *Router) platformClient(k traffic.Kind) (c *http.Client, err error) {
 	t := r.meter().Transport(k)
 	t.TLSClientConfig, err = clientTLS(r.settings.Platform().Authority())
 	if err != nil {
@@ -156,25 +156,25 @@
 			return err
 		}
 	}
-	agent, err := peer.New(s.Peers().Address(), peer.Parts{
+	agent, err := peer.New(s.Peers().Address(), peer.Config{
 		Members: r.members(), Ledger: r.ledger(), Health: r.health(), Configuration: r.follower(), Prober: r.probe(),
-		Claims: r.claims(), Spills: r.spills(), Meter: r.meter(), Logger: r.logger, TLS: cfg, Period: s.Peers().Period(), Budget: s.Peers().Budget(),
+		Claims: r.claims(), Spills: r.spills(), Meter: r.meter(), Logger: r.logger, TLS: cfg, Period: s.Peers().Period(), BytesPerSecond: s.Peers().BytesPerSecond(),
 	})
 	if err != nil {
 		return err
 	}
-	r.members().ListensOn(agent.Address())
-	r.follower().Use(agent)
-	r.claims().Use(r.members(), agent)
-	r.probe().Use(r.members(), gossip{agent})
+	r.members().SetAddress(agent.Address())
+	r.follower().SetPeers(agent)
+	r.claims().SetPeers(r.members(), agent)
+	r.probe().SetPeers(r.members(), gossip{agent})
 	r.kernel.Register(namePeers, agent)
-	client, err := r.platformClient(meter.KindVMList)
+	client, err := r.platformClient(traffic.KindVMList)
 	if err != nil {
 		return err
 	}
 	r.kernel.Register(nameVMWatcher, &vmWatcher{
 		list: vmlist.New(s.Platform().VMList(), client), members: r.members(), probe: r.probe(),
-		period: s.Platform().VMPeriod(), logger: r.logger,
+		period: s.Platform().VMListPeriod(), logger: r.logger,
 	})
 	r.kernel.Register(nameSnapshots, &snapshotWriter{
 		follower: r.follower(), members: r.members(), retention: s.Platform().Retention(), logger: r.logger,
@@ -189,13 +189,13 @@
 	if s.Platform().WeightStore() == "" {
 		return nil
 	}
-	ownsDuty := func(duty string) bool { return r.members().Mine(duty, 1) }
-	l := leases.New(r.kernel.Find(nameLog).(*platformlog.Log), s.VM().Name(),
-		lease.Terms{Term: s.Orders().Term(), Longest: s.Orders().Longest()}, ownsDuty, r.logger)
+	ownsDuty := func(duty string) bool { return r.members().Assigned(duty, 1) }
+	l := leases.New(r.kernel.Find(nameLog).(*platformlog.Client), s.VM().Name(),
+		lease.Terms{Term: s.Orders().LeaseTerm(), MaxAction: s.Orders().MaxAction()}, ownsDuty, r.logger)
 	r.kernel.Register(nameLeases, l)
-	client := &http.Client{Transport: r.meter().Transport(meter.KindOrders), Timeout: s.Orders().Longest()}
-	r.kernel.Register(nameOrders, orders.New(l, r.follower(), r.health(), client, s.Orders().Period(),
-		s.Orders().Longest(), s.Orders().Loads(), r.logger))
+	client := &http.Client{Transport: r.meter().Transport(traffic.KindOrders), Timeout: s.Orders().MaxAction()}
+	r.kernel.Register(nameOrders, rollout.New(l, r.follower(), r.health(), client, s.Orders().Period(),
+		s.Orders().MaxAction(), s.Orders().LoadsPerSecond(), r.logger))
 	return nil
 }
 
@@ -203,27 +203,27 @@
 type gossip struct{ agent *peer.Agent }
 
 func (g gossip) Finding(name string, down bool) {
-	g.agent.SpreadFinding(peer.Finding{Endpoint: name, Down: down})
+	g.agent.BroadcastFinding(peer.Finding{Endpoint: name, Down: down})
 }
 
 func (g gossip) Mark(name, incarnation string) {
-	g.agent.SpreadMark(peer.Mark{Endpoint: name, Incarnation: incarnation})
+	g.agent.BroadcastLeavingMark(peer.LeavingMark{Endpoint: name, Incarnation: incarnation})
 }
 
 func (r *Router) buildFront() (err error) {
 	s := r.settings
 	policy, _ := placement.New(s.Routing().Policy(), s.Routing().Bound(), s.Routing().NewBound(), uint64(time.Now().UnixNano()))
-	key, err := readSecret(s.Routing().TicketKey())
+	key, err := readSecret(s.Routing().TicketKeyFile())
 	if err != nil {
 		return err
 	}
-	gate := admission.NewGate(s.Limits().Queue(), r.poolLimit)
+	gate := admission.NewGate(s.Limits().QueueLength(), r.poolLimit)
 	r.kernel.Register(nameAdmission, gate)
 	r.kernel.Register(nameEndpoints, endpoint.New(r.probe()))
-	f := caller.New(caller.Parts{
+	f := caller.New(caller.Config{
 		Configuration: r.follower(), Endpoints: r.endpoints(), Admission: gate, Claims: r.claims(),
 		Ledger: r.ledger(), Health: r.health(), Policy: policy, Tickets: ticket.NewSealer(key), Spills: r.spills(),
-		Tokens: &tokens.Estimator{}, Worth: &tokens.Worth{}, Retries: retry.NewBudget(s.Limits().RetryRatio()), Decisions: &decision.Ring{},
+		Tokens: &tokens.Estimator{}, CacheValue: &tokens.CacheValue{}, Retries: retrybudget.NewBudget(s.Limits().RetryRatio()), Decisions: &decision.Log{},
 		Tracer: r.tracing().Tracer(), Metrics: r.metrics(), Logger: r.logger, Callers: s.Callers(),
 		Limits: s.Limits(),
 	})
@@ -233,7 +233,7 @@
 		return err
 	}
 	server, err := httpserver.New(s.Callers().Address(), f.Handler(), httpserver.Options{
-		MaxHeader: s.Callers().MaxHeader(), HeaderTimeout: s.Callers().HeaderTimeout(), TLS: cfg,
+		MaxHeaderBytes: s.Callers().MaxHeaderBytes(), HeaderTimeout: s.Callers().HeaderTimeout(), TLS: cfg,
 	})
 	if err != nil {
 		return err
@@ -245,7 +245,7 @@
 // poolLimit returns this router's part of the concurrent requests that a pool may have. All routers have the same part,
 // because the load balancer distributes callers evenly.
 func (r *Router) poolLimit(pool string) int {
-	total := r.ledger().Capacity(pool, r.settings.Limits().Concurrency())
+	total := r.ledger().Capacity(pool, r.settings.Limits().RequestsPerEndpoint())
 	return max(total/r.members().Count(), 1)
 }
 
@@ -262,14 +262,14 @@
 	api := operator.New(operator.Dependencies{
 		VM: s.VM().Name(), FailureDomain: s.VM().FailureDomain(), Configuration: r.follower(), Members: r.members(),
 		Ledger: r.ledger(), Health: r.health(), Decisions: r.front().Decisions, Meter: r.meter(),
-		Metrics: r.metrics(), Waiting: r.gate().Waiting, Claims: r.claims().Len, Draining: r.front().Draining,
+		Metrics: r.metrics(), Waiting: r.gate().Queued, Claims: r.claims().KeyCount, Draining: r.front().Draining,
 	})
 	cfg, err := serverTLS(s.Operators().Certificate(), s.Operators().Key())
 	if err != nil {
 		return err
 	}
 	server, err := httpserver.New(s.Operators().Address(), api.Handler(), httpserver.Options{
-		HeaderTimeout: operatorHeaderTimeout, TLS: cfg, StopWithin: operatorStopTimeout,
+		HeaderTimeout: operatorHeaderTimeout, TLS: cfg, StopTimeout: operatorStopTimeout,
 	})
 	if err != nil {
 		return err
@@ -282,7 +282,7 @@
 func (r *Router) Start(ctx context.Context) (err error) {
 	err = r.kernel.Start(ctx)
 	if err == nil {
-		_ = r.logger.Log("event", "started", "callers", r.Callers(), "operators", r.Operators(), "peers", r.Peers())
+		_ = r.logger.Log("event", "started", "callers", r.CallerAddress(), "operators", r.OperatorAddress(), "peers", r.PeerAddress())
 	}
 	return err
 }
@@ -309,35 +309,35 @@
 	r.agent().Kill()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	for _, s := range []kernel.Service{r.follower(), r.claims(), r.probe(), r.endpoints()} {
+	for _, s := range []lifecycle.Service{r.follower(), r.claims(), r.probe(), r.endpoints()} {
 		_ = s.Stop(ctx)
 	}
 	for _, name := range []string{nameVMWatcher, nameSnapshots, nameOrders, nameLeases} {
-		if s, ok := r.kernel.Lookup(name).(kernel.Service); ok {
+		if s, ok := r.kernel.Lookup(name).(lifecycle.Service); ok {
 			_ = s.Stop(ctx)
 		}
 	}
 }
 
-// Callers returns the address that serves callers.
-func (r *Router) Callers() string { return r.callers().Address() }
+// CallerAddress returns the address that serves callers.
+func (r *Router) CallerAddress() string { return r.callers().Address() }
 
-// Operators returns the address that serves operators.
-func (r *Router) Operators() string { return r.operatorsServer().Address() }
+// OperatorAddress returns the address that serves operators.
+func (r *Router) OperatorAddress() string { return r.operatorsServer().Address() }
 
-// Peers returns the address that serves peers.
-func (r *Router) Peers() string { return r.agent().Address() }
+// PeerAddress returns the address that serves peers.
+func (r *Router) PeerAddress() string { return r.agent().Address() }
 
-// Agent returns the agent that communicates with the peers.
-func (r *Router) Agent() *peer.Agent { return r.agent() }
+// PeerAgent returns the agent that communicates with the peers.
+func (r *Router) PeerAgent() *peer.Agent { return r.agent() }
 
 // Ready reports whether the router has a configuration.
 func (r *Router) Ready() bool { return r.follower().Ready() }
 
 // Meter returns the counters of this router's control traffic.
-func (r *Router) Meter() *meter.Meter { return r.meter() }
+func (r *Router) Meter() *traffic.Meter { return r.meter() }
 
-// Attempts returns the number of attempts at endpoints that this router has made.
-func (r *Router) Attempts() uint64 {
+// AttemptCount returns the number of attempts at endpoints that this router has made.
+func (r *Router) AttemptCount() uint64 {
 	return r.metrics().GetOrCreateCounter(caller.AttemptsMetric).Get()
 }
--- a/io/router/snapshots.go
+++ b/io/router/snapshots.go
@@ -44,7 +44,7 @@
 }
 
 func (s *snapshotWriter) writeIfDue(ctx context.Context, now time.Time) {
-	if !s.follower.SnapshotDue(now, s.retention) || !s.members.Mine(snapshotDuty, 1) {
+	if !s.follower.SnapshotDue(now, s.retention) || !s.members.Assigned(snapshotDuty, 1) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
--- a/io/router/vmwatcher.go
+++ b/io/router/vmwatcher.go
@@ -14,9 +14,9 @@
 
 // vmWatcher polls the VM list for routers and for endpoints that are marked as leaving.
 type vmWatcher struct {
-	list    *vmlist.List
+	list    *vmlist.Client
 	members *membership.Table
-	probe   *probe.Keeper
+	probe   *probe.Prober
 	period  time.Duration
 	logger  log.Logger
 	etag    string
@@ -44,7 +44,7 @@
 func (w *vmWatcher) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
-	vms, etag, changed, err := w.list.Read(ctx, w.etag)
+	vms, etag, changed, err := w.list.Fetch(ctx, w.etag)
 	if err != nil {
 		_ = w.logger.Log("event", "vmListUnread", "err", err)
 		return
@@ -57,17 +57,17 @@
 }
 
 func (w *vmWatcher) update(vms []vmlist.VM) {
-	var routers []membership.Rumour
+	var routers []membership.Update
 	for _, vm := range vms {
 		if vm.Role == vmlist.RoleEndpoint {
-			w.probe.Listed(vm.Name, vm.Leaving)
+			w.probe.UpdateFromVMList(vm.Name, vm.Leaving)
 			continue
 		}
-		r := membership.Rumour{Name: vm.Name, Address: vm.Address, FailureDomain: vm.FailureDomain}
+		r := membership.Update{Name: vm.Name, Address: vm.Address, FailureDomain: vm.FailureDomain}
 		if vm.Leaving {
 			r.State = membership.Leaving
 		}
 		routers = append(routers, r)
 	}
-	w.members.Listed(routers, time.Now())
+	w.members.UpdateFromVMList(routers, time.Now())
 }
--- a/io/standin/logservice/service.go
+++ b/io/standin/logservice/service.go
@@ -139,7 +139,7 @@
 	defer s.mu.Unlock()
 	st := s.stream(name)
 	offset = st.first + int64(len(st.records))
-	st.records = append(st.records, platformlog.Record{Offset: offset, At: time.Now(), Data: data})
+	st.records = append(st.records, platformlog.Record{Offset: offset, Time: time.Now(), Data: data})
 	close(st.changed)
 	st.changed = make(chan struct{})
 	s.appends++
@@ -162,7 +162,7 @@
 
 func (st *stream) expire(before time.Time) {
 	n := 0
-	for n < len(st.records) && st.records[n].At.Before(before) {
+	for n < len(st.records) && st.records[n].Time.Before(before) {
 		n++
 	}
 	st.drop(n)
--- a/io/standin/plainservice/service.go
+++ b/io/standin/plainservice/service.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return
 	}
-	s.count(r.Header.Get(header.Idempotency))
+	s.count(r.Header.Get(header.IdempotencyKey))
 	time.Sleep(h.late)
 	if h.dropAfter {
 		panic(http.ErrAbortHandler)
--- a/io/desired/keeper.go
+++ b/io/storeconfig/keeper.go
@@ -1,4 +1,4 @@
-package desired
+package storeconfig
 
 import (
 	"sync/atomic"
@@ -6,45 +6,45 @@
 
 	"github.com/go-kit/log"
 
+	"savoryfall/core/compactedlog"
 	"savoryfall/core/event"
 	"savoryfall/core/field"
 	"savoryfall/core/freshness"
-	"savoryfall/core/keyed"
 	"savoryfall/core/routetable"
 )
 
 // Decoder decodes a configuration from a record; ok is false for records of another kind.
 type Decoder interface {
-	Decode(r keyed.Record) (t *routetable.Table, ok bool, err error)
+	Decode(r compactedlog.Record) (t *routetable.Table, ok bool, err error)
 }
 
-// Keeper holds the newest configuration that has been read.
-type Keeper struct {
+// Tracker holds the newest configuration that has been read.
+type Tracker struct {
 	decoder       Decoder
 	lease         *freshness.Lease
 	logger        log.Logger
 	current       atomic.Pointer[routetable.Table]
-	currentRecord atomic.Pointer[keyed.Record]
+	currentRecord atomic.Pointer[compactedlog.Record]
 	onChange      func(t *routetable.Table)
 }
 
 // New returns a keeper that renews the lease with each read and calls onChange with each newer configuration.
-func New(d Decoder, l *freshness.Lease, onChange func(t *routetable.Table), logger log.Logger) *Keeper {
-	return &Keeper{decoder: d, lease: l, onChange: onChange, logger: logger}
+func New(d Decoder, l *freshness.Lease, onChange func(t *routetable.Table), logger log.Logger) *Tracker {
+	return &Tracker{decoder: d, lease: l, onChange: onChange, logger: logger}
 }
 
 // Current returns the configuration in force, or nil before the first one.
-func (k *Keeper) Current() *routetable.Table { return k.current.Load() }
+func (k *Tracker) Current() *routetable.Table { return k.current.Load() }
 
 // Record returns the record of the configuration in force, or nil before the first one.
-func (k *Keeper) Record() *keyed.Record { return k.currentRecord.Load() }
+func (k *Tracker) Record() *compactedlog.Record { return k.currentRecord.Load() }
 
 // Replace applies the newest record of every key.
-func (k *Keeper) Replace(records []keyed.Record) { k.Apply(records) }
+func (k *Tracker) Replace(records []compactedlog.Record) { k.Apply(records) }
 
 // Apply puts the newest configuration among the records in force. Older versions are ignored: a read that was
 // overtaken by another one must not restore a withdrawn key.
-func (k *Keeper) Apply(records []keyed.Record) {
+func (k *Tracker) Apply(records []compactedlog.Record) {
 	for _, r := range records {
 		t, ok, err := k.decoder.Decode(r)
 		if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (k *Keeper) activate(t *routetable.Table, r keyed.Record) {
+func (k *Tracker) activate(t *routetable.Table, r compactedlog.Record) {
 	old := k.current.Load()
 	if old != nil && t.Version() <= old.Version() {
 		return
@@ -69,17 +69,17 @@
 	if old != nil {
 		from = old.Version()
 	}
-	_ = k.logger.Log(field.Event, event.ConfigurationInForce, field.Version, t.Version(), field.From, from, field.Offset, r.Offset, field.Routes, t.Routes(),
+	_ = k.logger.Log(field.Event, event.ConfigurationInForce, field.Version, t.Version(), field.From, from, field.Offset, r.Offset, field.Routes, t.RouteCount(),
 		field.IdleMs, t.Limits().IdleTimeout.Milliseconds(), field.HeaderMs, t.Limits().HeaderTimeout.Milliseconds())
 }
 
 // Read renews the lease. Before the first configuration there is nothing to serve requests with, so the lease is
 // not renewed.
-func (k *Keeper) Read(sent time.Duration) {
+func (k *Tracker) Read(sent time.Duration) {
 	if k.current.Load() != nil {
 		k.lease.Renew(sent)
 	}
 }
 
 // Failed does nothing: without successful reads the lease expires.
-func (k *Keeper) Failed(error) {}
+func (k *Tracker) Failed(error) {}
--- a/io/tracing/tracing.go
+++ b/io/tracing/tracing.go
@@ -15,16 +15,16 @@
 	"savoryfall/core/annotate"
 )
 
-// Tracing creates and exports spans. Without a destination no span is sampled.
-type Tracing struct {
+// Provider creates and exports spans. Without a destination no span is sampled.
+type Provider struct {
 	provider *trace.TracerProvider
 	file     *os.File
 }
 
 // New exports spans to the OTLP URL, or appends them to the file if the URL is empty. If both are empty, spans are discarded.
-func New(ctx context.Context, vm, otlpURL, file string) (t *Tracing, err error) {
+func New(ctx context.Context, vm, otlpURL, file string) (t *Provider, err error) {
 	defer annotate.Error(&err, "set up traces")
-	t = &Tracing{}
+	t = &Provider{}
 	options := []trace.TracerProviderOption{
 		trace.WithResource(resource.NewSchemaless(attribute.String("service.name", "savoryfall"), attribute.String("vm", vm))),
 	}
@@ -53,16 +53,16 @@
 }
 
 // Tracer returns the tracer for spans of savoryfall.
-func (t *Tracing) Tracer() api.Tracer { return t.provider.Tracer("savoryfall") }
+func (t *Provider) Tracer() api.Tracer { return t.provider.Tracer("savoryfall") }
 
 // Propagator returns a propagator that carries the trace context in the traceparent header.
 func Propagator() propagation.TextMapPropagator { return propagation.TraceContext{} }
 
 // Start does nothing; New has already set up the exporter.
-func (t *Tracing) Start(context.Context) error { return nil }
+func (t *Provider) Start(context.Context) error { return nil }
 
 // Stop exports the remaining spans and closes the file.
-func (t *Tracing) Stop(ctx context.Context) (err error) {
+func (t *Provider) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop traces")
 	err = t.provider.Shutdown(ctx)
 	if t.file != nil {
--- a/io/meter/meter.go
+++ b/io/traffic/meter.go
@@ -1,4 +1,4 @@
-package meter
+package traffic
 
 import (
 	"context"
@@ -32,8 +32,8 @@
 	bytesMetric      = `savoryfall_control_bytes_total{kind=%q,direction=%q}`
 )
 
-// Kinds lists all kinds.
-var Kinds = []Kind{KindPeer, KindProbe, KindLog, KindVMList, KindOrders}
+// AllKinds lists all kinds.
+var AllKinds = []Kind{KindPeer, KindProbe, KindLog, KindVMList, KindOrders}
 
 func (m *Meter) counter(k Kind, direction string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(bytesMetric, string(k), direction))
@@ -52,7 +52,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return m.Conn(k, c), nil
+		return m.CountBytes(k, c), nil
 	}
 }
 
@@ -61,13 +61,13 @@
 	return &http.Transport{DialContext: m.Dial(k), MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, DisableCompression: true}
 }
 
-// Called counts one call of the kind made by this process.
-func (m *Meter) Called(k Kind) {
+// CountCall counts one call of the kind made by this process.
+func (m *Meter) CountCall(k Kind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_control_calls_total{kind=%q}`, string(k))).Inc()
 }
 
-// Calls wraps an HTTP transport to count the requests made through it, whatever their outcome.
-func (m *Meter) Calls(k Kind, next http.RoundTripper) http.RoundTripper {
+// CountCalls wraps an HTTP transport to count the requests made through it, whatever their outcome.
+func (m *Meter) CountCalls(k Kind, next http.RoundTripper) http.RoundTripper {
 	return countingTransport{meter: m, kind: k, next: next}
 }
 
@@ -78,12 +78,12 @@
 }
 
 func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	c.meter.Called(c.kind)
+	c.meter.CountCall(c.kind)
 	return c.next.RoundTrip(r)
 }
 
-// Conn wraps a connection to count the bytes read from it and written to it.
-func (m *Meter) Conn(k Kind, c net.Conn) net.Conn {
+// CountBytes wraps a connection to count the bytes read from it and written to it.
+func (m *Meter) CountBytes(k Kind, c net.Conn) net.Conn {
 	return &countingConn{Conn: c, sent: m.counter(k, "sent"), received: m.counter(k, "received")}
 }
 
--- a/io/vmlist/client.go
+++ b/io/vmlist/client.go
@@ -28,20 +28,20 @@
 	RoleEndpoint = "endpoint"
 )
 
-// List is a client of the VM list.
-type List struct {
+// Client is a client of the VM list.
+type Client struct {
 	base   string
 	client *http.Client
 }
 
 // New returns a client of the list at the base URL.
-func New(base string, client *http.Client) *List {
-	return &List{base: base, client: client}
+func New(base string, client *http.Client) *Client {
+	return &Client{base: base, client: client}
 }
 
-// Read fetches the list, which may be out of date. If the list still has the given ETag, the server sends no body and changed is
+// Fetch fetches the list, which may be out of date. If the list still has the given ETag, the server sends no body and changed is
 // false.
-func (l *List) Read(ctx context.Context, etag string) (vms []VM, newETag string, changed bool, err error) {
+func (l *Client) Fetch(ctx context.Context, etag string) (vms []VM, newETag string, changed bool, err error) {
 	defer annotate.Error(&err, "read VM list")
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, l.base+"/v1/vms", nil)
 	if err != nil {
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -7,31 +7,31 @@
 	"strings"
 	"time"
 
-	"savoryfall/platform/standin/server"
+	"savoryfall/platform/standin/fakeendpoint"
 )
 
 // arrivalsByRequest holds the arrivals of each request at all endpoints, by request ID.
-type arrivalsByRequest map[string][]server.Arrival
+type arrivalsByRequest map[string][]fakeendpoint.ReceivedRequest
 
 func (h *harness) arrivals() (byRequest arrivalsByRequest) {
 	byRequest = arrivalsByRequest{}
 	for _, e := range h.endpoints {
-		for _, a := range e.Arrivals() {
+		for _, a := range e.ReceivedRequests() {
 			byRequest[a.ID] = append(byRequest[a.ID], a)
-			if a.Authorized {
+			if a.HasClientKey {
 				h.addViolation("%s reached endpoint %s with the client's key", a.ID, e.options.ID)
 			}
 		}
 	}
 	for _, list := range byRequest {
-		slices.SortFunc(list, func(a, b server.Arrival) int { return a.At.Compare(b.At) })
+		slices.SortFunc(list, func(a, b fakeendpoint.ReceivedRequest) int { return a.At.Compare(b.At) })
 	}
 	return byRequest
 }
 
 func (h *harness) timesRun(id string) (n int64) {
 	for _, e := range h.endpoints {
-		n += e.Ran(id)
+		n += e.ExecutionsOf(id)
 	}
 	return n
 }
@@ -47,7 +47,7 @@
 		if q.parts > 1 {
 			inParts++
 		}
-		if q.answer.Whole && q.answer.Status == http.StatusOK {
+		if q.answer.Complete && q.answer.Status == http.StatusOK {
 			servedWhole++
 		}
 		h.checkAnswer(q)
@@ -75,13 +75,13 @@
 		if q.answer.Status == http.StatusOK && !strings.HasPrefix(wholeStream(), q.answer.Body) {
 			h.addViolation("stream %s has a gap or a repeat: %q", q.id, q.answer.Body)
 		}
-		if q.answer.Status == http.StatusOK && q.answer.Whole && q.answer.Body != wholeStream() {
+		if q.answer.Status == http.StatusOK && q.answer.Complete && q.answer.Body != wholeStream() {
 			h.addViolation("stream %s looks complete but is not: %q", q.id, q.answer.Body)
 		}
 		return
 	}
 	want := fmt.Sprintf("/%s/%s for coop by plain", q.route, q.id)
-	if q.answer.Status == http.StatusOK && q.answer.Whole && q.answer.Body != want {
+	if q.answer.Status == http.StatusOK && q.answer.Complete && q.answer.Body != want {
 		h.addViolation("%s got %q, want %q", q.id, q.answer.Body, want)
 	}
 }
@@ -130,13 +130,13 @@
 	if inForce && (q.answer.Status == http.StatusUnauthorized || q.answer.Status == http.StatusNotFound) {
 		h.addViolation("%s got %d from %s for %s, in force for %v", q.id, q.answer.Status, q.router.name, q.key, q.sent.Sub(at))
 	}
-	if len(arrivals[q.id]) > 0 && !q.abandoned && !q.answer.Whole {
+	if len(arrivals[q.id]) > 0 && !q.abandoned && !q.answer.Complete {
 		h.addViolation("%s %s reached an endpoint and ran %d times, but its answer from %s was truncated after %v: status %d, %q; %s", q.route, q.id,
 			h.timesRun(q.id), q.router.name, q.ended.Sub(q.sent), q.answer.Status, q.answer.Body, q.timing())
 	}
 	if q.abandoned && time.Since(q.ended) > time.Second {
 		for _, e := range h.endpoints {
-			if e.Working(q.id) {
+			if e.Executing(q.id) {
 				h.addViolation("%s is still being processed %v after its client disconnected", q.id, time.Since(q.ended))
 			}
 		}
@@ -147,7 +147,7 @@
 // ends. A connection that was idle within its limit must answer the next request; only a router that is stopping, or a
 // client that exceeded the limit, may end it without an answer.
 func (h *harness) checkUnanswered(q *request) {
-	if q.answer.Read && !q.abandoned && !h.disturbed(q.router, q.sent, q.ended) {
+	if q.answer.RequestRead && !q.abandoned && !h.disturbed(q.router, q.sent, q.ended) {
 		h.addViolation("%s %s was read by %s and neither answered nor refused: %s", q.route, q.id, q.router.name, q.timing())
 	}
 	if q.conn == nil || q.answer.Status != 0 || h.disturbed(q.router, q.idleSince, q.ended) {
@@ -223,7 +223,7 @@
 		sent[q.id] = q
 	}
 	for _, e := range h.endpoints {
-		for _, a := range e.Arrivals() {
+		for _, a := range e.ReceivedRequests() {
 			q := sent[a.ID]
 			if e.leavingSince.IsZero() || q == nil || a.At.Sub(e.leavingSince) < drainDelay || q.sent.Sub(e.leavingSince) < drainDelay {
 				continue
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"savoryfall/platform/standin/client"
+	"savoryfall/platform/standin/testclient"
 )
 
 // request is one request of a client and its result.
@@ -16,7 +16,7 @@
 	router         *router
 	routerStart    int
 	sent, ended    time.Time
-	answer         client.Answer
+	answer         testclient.Response
 	// abandoned is set if the client disconnected before the answer was complete.
 	abandoned bool
 	// conn is set if the connection can be reused, idleSince is when the connection became idle, and parts is the
@@ -30,7 +30,7 @@
 
 // clientConn is a connection that a client uses for several requests in sequence.
 type clientConn struct {
-	*client.Conn
+	*testclient.Conn
 	idling idleBehavior
 	random *rand.Rand
 	// idleSince is when the last answer was read, or when the connection was opened.
@@ -50,7 +50,7 @@
 
 // dial opens a client connection, and records the time if the router refuses it.
 func (r *router) dial(idling idleBehavior, random *rand.Rand) (c *clientConn, err error) {
-	raw, err := client.Dial(r.clientAddress)
+	raw, err := testclient.Dial(r.clientAddress)
 	if err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 }
 
 // send writes the request, sometimes in several parts.
-func (c *clientConn) send(q *request, msg client.Request) (err error) {
+func (c *clientConn) send(q *request, msg testclient.Request) (err error) {
 	q.conn, q.idleSince = c, c.idleSince
 	if c.random.IntN(4) == 0 {
 		msg.Body = strings.Repeat("x", c.random.IntN(2)*c.random.IntN(4000))
@@ -85,19 +85,19 @@
 }
 
 // send sends one request with the newest key and waits for its answer; a nil connection means a new one.
-func (h *harness) send(r *router, c *clientConn, route string) client.Answer {
+func (h *harness) send(r *router, c *clientConn, route string) testclient.Response {
 	h.mu.Lock()
 	key := h.key
 	h.mu.Unlock()
 	return h.sendWithKey(r, c, route, key)
 }
 
-func (h *harness) sendWithKey(r *router, c *clientConn, route, key string) client.Answer {
+func (h *harness) sendWithKey(r *router, c *clientConn, route, key string) testclient.Response {
 	q := &request{id: fmt.Sprint("r", h.nextID.Add(1)), route: route, key: key, router: r, sent: time.Now(), parts: 1}
 	q.idleSince, q.routerStart = q.sent, r.startCount()
-	msg := client.Request{Method: http.MethodPost, Host: host, Path: "/" + route + "/" + q.id, ID: q.id, Key: key}
+	msg := testclient.Request{Method: http.MethodPost, Host: host, Path: "/" + route + "/" + q.id, ID: q.id, Key: key}
 	if c == nil {
-		q.answer = client.Ask(r.clientAddress, msg)
+		q.answer = testclient.Send(r.clientAddress, msg)
 	} else {
 		err := c.send(q, msg)
 		if err == nil {
@@ -114,7 +114,7 @@
 
 // abandonStream sends a streaming request and disconnects before the answer can be complete.
 func (h *harness) abandonStream(r *router) {
-	c, err := client.Dial(r.clientAddress)
+	c, err := testclient.Dial(r.clientAddress)
 	if err != nil {
 		return
 	}
@@ -123,7 +123,7 @@
 	h.mu.Unlock()
 	q := &request{id: fmt.Sprint("r", h.nextID.Add(1)), route: "draft", key: key, router: r, sent: time.Now(), abandoned: true, parts: 1}
 	q.idleSince, q.routerStart = q.sent, r.startCount()
-	_ = c.Send(client.Request{Method: http.MethodPost, Host: host, Path: "/draft/" + q.id, ID: q.id, Key: key})
+	_ = c.Send(testclient.Request{Method: http.MethodPost, Host: host, Path: "/draft/" + q.id, ID: q.id, Key: key})
 	<-time.After(2 * eventInterval)
 	c.Close()
 	q.ended = time.Now()
@@ -148,7 +148,7 @@
 			}
 			continue
 		}
-		for remaining := 1 + random.IntN(30); remaining > 0 && c.Usable(); remaining-- {
+		for remaining := 1 + random.IntN(30); remaining > 0 && c.Reusable(); remaining-- {
 			if h.doneWithin(h.idleTime(c)) {
 				c.Close()
 				return
--- a/soak/endpoints_test.go
+++ b/soak/endpoints_test.go
@@ -9,13 +9,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/platform/standin/server"
+	"savoryfall/platform/standin/fakeendpoint"
 )
 
 // endpoint is one stand-in server behind its link. The next endpoint reuses the link's address.
 type endpoint struct {
-	*server.Server
-	options    server.Options
+	*fakeendpoint.Endpoint
+	options    fakeendpoint.Options
 	link       *link
 	httpServer *http.Server
 	mu         sync.Mutex
@@ -35,16 +35,16 @@
 	heartbeatPeriod = 400 * time.Millisecond
 )
 
-func (h *harness) endpointOptions(service string) (o server.Options) {
-	o = server.Options{ID: fmt.Sprintf("s%d", h.nextID.Add(1)), Service: service, Zone: "a", Slots: plainSlots, Work: runTime}
+func (h *harness) endpointOptions(service string) (o fakeendpoint.Options) {
+	o = fakeendpoint.Options{ID: fmt.Sprintf("s%d", h.nextID.Add(1)), Service: service, FailureDomain: "a", Slots: plainSlots, ResponseTime: runTime}
 	if service == modelService {
-		o.Slots, o.Events, o.Step, o.Slow = engineSlots, eventsPerStream, eventInterval, slowPath
+		o.Slots, o.Events, o.EventTime, o.SlowPrefix = engineSlots, eventsPerStream, eventInterval, slowPath
 	}
 	return o
 }
 
 // startEndpoint starts an endpoint behind the link, or behind a new link if l is nil.
-func (h *harness) startEndpoint(o server.Options, l *link) {
+func (h *harness) startEndpoint(o fakeendpoint.Options, l *link) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(h.t, err)
 	if l == nil {
@@ -52,8 +52,8 @@
 	}
 	l.setTarget(listener.Addr().String())
 	o.Address = l.address()
-	e := &endpoint{Server: server.New(o), options: o, link: l}
-	e.httpServer = &http.Server{Handler: e.Server}
+	e := &endpoint{Endpoint: fakeendpoint.New(o), options: o, link: l}
+	e.httpServer = &http.Server{Handler: e.Endpoint}
 	go func() { _ = e.httpServer.Serve(listener) }()
 	h.t.Cleanup(func() { _ = e.httpServer.Close() })
 	h.mu.Lock()
@@ -89,7 +89,7 @@
 // drainEndpoint announces that the endpoint is leaving, lets it serve until requests should have stopped, and removes
 // it.
 func (h *harness) drainEndpoint(e *endpoint) {
-	e.Leave()
+	e.Drain()
 	h.writeEntry(e)
 	e.mu.Lock()
 	e.leavingSince = time.Now()
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -138,14 +138,14 @@
 	case 9:
 		h.injectStoreFault("store down", duration, func(on bool) { h.store.SetDown(on) })
 	case 10:
-		h.injectStoreFault("store silent", duration, func(on bool) { h.store.SetSilent(on) })
+		h.injectStoreFault("store silent", duration, func(on bool) { h.store.SetUnresponsive(on) })
 	case 11:
-		h.injectStoreFault("store slow", duration, func(on bool) { h.store.SetSlow(map[bool]time.Duration{true: 200 * time.Millisecond}[on]) })
+		h.injectStoreFault("store slow", duration, func(on bool) { h.store.SetDelay(map[bool]time.Duration{true: 200 * time.Millisecond}[on]) })
 	case 12:
 		h.recordFault("store lost records", "", 0, false)
-		h.store.Forget("keyed.servers")
-		h.store.Forget("keyed.op")
-		h.store.Lose(1)
+		h.store.Compact("keyed.servers")
+		h.store.Compact("keyed.op")
+		h.store.LoseResponses(1)
 	case 13:
 		h.writeConfiguration([]time.Duration{shortIdleLimit, longIdleLimit}[random.IntN(2)])
 	}
--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"savoryfall/platform/standin/store"
+	"savoryfall/platform/standin/fakestore"
 )
 
 const (
@@ -57,7 +57,7 @@
 	// runIndex distinguishes the runs of this test process, for example in loopback addresses.
 	runIndex     int64
 	random       *rand.Rand
-	store        store.Service
+	store        fakestore.Service
 	storeAddress string
 	routers      []*router
 	nextID       atomic.Int64
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -154,7 +154,7 @@
 // waitUntilServing sends requests until the router serves one, and returns false after the timeout.
 func (h *harness) waitUntilServing(r *router, timeout time.Duration) (ok bool) {
 	for began := time.Now(); time.Since(began) < timeout; {
-		if h.send(r, nil, "read").Whole {
+		if h.send(r, nil, "read").Complete {
 			return true
 		}
 		<-time.After(50 * time.Millisecond)
