--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -10,189 +10,195 @@
 	"savoryfall/platform/standin/server"
 )
 
-// arrivals are those of every request at all servers.
-type arrivals map[string][]server.Arrival
+// arrivalsByRequest holds the arrivals of each request at all endpoints, by request ID.
+type arrivalsByRequest map[string][]server.Arrival
 
-func (w *world) arrivals() (by arrivals) {
-	by = arrivals{}
-	for _, b := range w.servers {
+func (h *harness) arrivalsByRequest() (byRequest arrivalsByRequest) {
+	byRequest = arrivalsByRequest{}
+	for _, b := range h.endpoints {
 		for _, a := range b.Arrivals() {
-			by[a.ID] = append(by[a.ID], a)
+			byRequest[a.ID] = append(byRequest[a.ID], a)
 			if a.Authorized {
-				w.fault("%s reached server %s with the client's key", a.ID, b.options.ID)
+				h.addViolation("%s reached endpoint %s with the client's key", a.ID, b.options.ID)
 			}
 		}
 	}
-	for _, list := range by {
+	for _, list := range byRequest {
 		slices.SortFunc(list, func(a, b server.Arrival) int { return a.At.Compare(b.At) })
 	}
-	return by
+	return byRequest
 }
 
-func (w *world) ran(id string) (n int64) {
-	for _, b := range w.servers {
-		n += b.Ran(id)
+func (h *harness) timesRun(id string) (n int64) {
+	for _, e := range h.endpoints {
+		n += e.Ran(id)
 	}
 	return n
 }
 
-// check looks at the end at what must have held all the while.
-func (w *world) check() {
-	by := w.arrivals()
-	served, rested, parted := 0, 0, 0
-	for _, q := range w.requests {
-		if q.sent.Sub(q.since) > time.Second {
-			rested++
+// check verifies the guarantees for the whole run, after it has ended.
+func (h *harness) check() {
+	arrivals := h.arrivalsByRequest()
+	servedWhole, afterIdle, inParts := 0, 0, 0
+	for _, q := range h.requests {
+		if q.sent.Sub(q.idleSince) > time.Second {
+			afterIdle++
 		}
 		if q.parts > 1 {
-			parted++
+			inParts++
 		}
 		if q.answer.Whole && q.answer.Status == http.StatusOK {
-			served++
+			servedWhole++
 		}
-		w.checkAnswer(q)
-		w.checkRuns(q)
-		w.checkKey(q)
-		w.checkCalm(q, by)
-		w.checkLost(q)
-		w.checkStopping(q)
+		h.checkAnswer(q)
+		h.checkRuns(q)
+		h.checkWithdrawnKey(q)
+		h.checkUndisturbed(q, arrivals)
+		h.checkUnanswered(q)
+		h.checkServesWhileStopping(q)
 	}
-	w.checkAccepted()
-	w.checkForward()
-	w.checkLeaving()
-	w.checkRetries(by)
-	w.t.Logf("seed %d: %d requests, %d after a second or more of idleness, %d in parts, %d served whole, %d faults injected", w.seed,
-		len(w.requests), rested, parted, served, len(w.troubles))
-	if served == 0 {
-		w.fault("nothing was served")
+	h.checkAcceptsWhileStopping()
+	h.checkVersionOrder()
+	h.checkDrained()
+	h.checkRetryBudget(arrivals)
+	h.t.Logf("seed %d: %d requests, %d after idling for more than a second, %d sent in parts, %d served completely, %d faults injected", h.seed,
+		len(h.requests), afterIdle, inParts, servedWhole, len(h.faults))
+	if servedWhole == 0 {
+		h.addViolation("no request was served")
 	}
 }
 
-// checkAnswer: a client gets the whole answer to its own request, or can tell that it has not.
-func (w *world) checkAnswer(q *request) {
-	if q.kind == "draft" || q.kind == "talk" {
-		if q.answer.Status == http.StatusOK && !strings.HasPrefix(stream(), q.answer.Body) {
-			w.fault("stream %s has a gap or a repeat: %q", q.id, q.answer.Body)
+// checkAnswer verifies that a client gets the complete answer to its own request, or can tell that the answer is
+// incomplete.
+func (h *harness) checkAnswer(q *request) {
+	if q.route == "draft" || q.route == "talk" {
+		if q.answer.Status == http.StatusOK && !strings.HasPrefix(wholeStream(), q.answer.Body) {
+			h.addViolation("stream %s has a gap or a repeat: %q", q.id, q.answer.Body)
 		}
-		if q.answer.Status == http.StatusOK && q.answer.Whole && q.answer.Body != stream() {
-			w.fault("stream %s looks whole: %q", q.id, q.answer.Body)
+		if q.answer.Status == http.StatusOK && q.answer.Whole && q.answer.Body != wholeStream() {
+			h.addViolation("stream %s looks complete but is not: %q", q.id, q.answer.Body)
 		}
 		return
 	}
-	want := fmt.Sprintf("/%s/%s for coop by plain", q.kind, q.id)
+	want := fmt.Sprintf("/%s/%s for coop by plain", q.route, q.id)
 	if q.answer.Status == http.StatusOK && q.answer.Whole && q.answer.Body != want {
-		w.fault("%s got %q, want %q", q.id, q.answer.Body, want)
+		h.addViolation("%s got %q, want %q", q.id, q.answer.Body, want)
 	}
 }
 
-func stream() (text string) {
-	for id := 1; id <= events; id++ {
+func wholeStream() (text string) {
+	for id := 1; id <= eventsPerStream; id++ {
 		text += fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id)
 	}
 	return text
 }
 
-// checkRuns: what runs once runs once, and what was told not to have run has not.
-func (w *world) checkRuns(q *request) {
-	if q.kind != "book" && q.kind != "talk" {
+// checkRuns verifies that a non-repeatable request runs at most once, and that a request whose status says that it did
+// not run has not run.
+func (h *harness) checkRuns(q *request) {
+	if q.route != "book" && q.route != "talk" {
 		return
 	}
-	n := w.ran(q.id)
+	n := h.timesRun(q.id)
 	if n > 1 {
-		w.fault("%s %s ran %d times", q.kind, q.id, n)
+		h.addViolation("%s %s ran %d times", q.route, q.id, n)
 	}
 	promises := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 	if n > 0 && slices.Contains(promises, q.answer.Status) {
-		w.fault("%s %s was told %d and ran", q.kind, q.id, q.answer.Status)
+		h.addViolation("%s %s got status %d, which says that it did not run, but it ran", q.route, q.id, q.answer.Status)
 	}
 }
 
-// checkKey: a withdrawn key runs nothing after its term, whatever happened to the router.
-func (w *world) checkKey(q *request) {
-	at, gone := w.withdrawn[q.key]
-	if gone && q.sent.Sub(at) > keyTerm+slack && w.ran(q.id) > 0 {
-		w.fault("%s ran on %s by %s, which was withdrawn %v before", q.id, q.router.name, q.key, q.sent.Sub(at))
+// checkWithdrawnKey verifies that no request runs with a withdrawn key after keyTerm, whatever happened to the router.
+func (h *harness) checkWithdrawnKey(q *request) {
+	at, isWithdrawn := h.keyWithdrawn[q.key]
+	if isWithdrawn && q.sent.Sub(at) > keyTerm+latencySlack && h.timesRun(q.id) > 0 {
+		h.addViolation("%s ran through %s with %s, which had been withdrawn %v before", q.id, q.router.name, q.key, q.sent.Sub(at))
 	}
 }
 
-// checkCalm: where nothing is disturbed, a key in force is served, an answer that a server gives arrives whole also from
-// a router that is stopping, and no server works for a client that has left.
-func (w *world) checkCalm(q *request, by arrivals) {
-	if w.disturbed(q.router, q.sent, q.ended) {
+// checkUndisturbed verifies, for times without unplanned faults, that a key in force is accepted, that an endpoint's
+// answer arrives complete even from a router that is stopping, and that no endpoint keeps working for a client that has
+// disconnected.
+func (h *harness) checkUndisturbed(q *request, arrivals arrivalsByRequest) {
+	if h.disturbed(q.router, q.sent, q.ended) {
 		return
 	}
-	at, known := w.written[q.key]
-	_, gone := w.withdrawn[q.key]
-	inForce := known && !gone && q.sent.Sub(at) > applied+slack
+	at, known := h.keyWritten[q.key]
+	_, isWithdrawn := h.keyWithdrawn[q.key]
+	inForce := known && !isWithdrawn && q.sent.Sub(at) > configurationDelay+latencySlack
 	if inForce && (q.answer.Status == http.StatusUnauthorized || q.answer.Status == http.StatusNotFound) {
-		w.fault("%s got %d from %s for %s, in force for %v", q.id, q.answer.Status, q.router.name, q.key, q.sent.Sub(at))
+		h.addViolation("%s got %d from %s for %s, in force for %v", q.id, q.answer.Status, q.router.name, q.key, q.sent.Sub(at))
 	}
-	if len(by[q.id]) > 0 && !q.quit && !q.answer.Whole {
-		w.fault("%s %s reached a server, ran %d times, and its answer from %s was cut after %v: status %d, %q; %s", q.kind, q.id,
-			w.ran(q.id), q.router.name, q.ended.Sub(q.sent), q.answer.Status, q.answer.Body, q.way())
+	if len(arrivals[q.id]) > 0 && !q.abandon && !q.answer.Whole {
+		h.addViolation("%s %s reached an endpoint and ran %d times, but its answer from %s was truncated after %v: status %d, %q; %s", q.route, q.id,
+			h.timesRun(q.id), q.router.name, q.ended.Sub(q.sent), q.answer.Status, q.answer.Body, q.timing())
 	}
-	if q.quit && time.Since(q.ended) > time.Second {
-		for _, b := range w.servers {
-			if b.Working(q.id) {
-				w.fault("%s is still worked on %v after its client left", q.id, time.Since(q.ended))
+	if q.abandon && time.Since(q.ended) > time.Second {
+		for _, e := range h.endpoints {
+			if e.Working(q.id) {
+				h.addViolation("%s is still being processed %v after its client disconnected", q.id, time.Since(q.ended))
 			}
 		}
 	}
 }
 
-// checkLost: a request that was sent whole is answered or refused, and not left until its connection ends. A connection that
-// was idle for no longer than it may be answers the next request; a router that stops, or a client that is late, may end it.
-func (w *world) checkLost(q *request) {
-	if q.answer.Read && !q.quit && !w.disturbed(q.router, q.sent, q.ended) {
-		w.fault("%s %s was read by %s and neither answered nor refused: %s", q.kind, q.id, q.router.name, q.way())
+// checkUnanswered verifies that a completely sent request is answered or refused rather than left until its connection
+// ends. A connection that was idle within its limit must answer the next request; only a router that is stopping, or a
+// client that exceeded the limit, may end it without an answer.
+func (h *harness) checkUnanswered(q *request) {
+	if q.answer.Read && !q.abandon && !h.disturbed(q.router, q.sent, q.ended) {
+		h.addViolation("%s %s was read by %s and neither answered nor refused: %s", q.route, q.id, q.router.name, q.timing())
 	}
-	if q.conn == nil || q.answer.Status != 0 || w.disturbed(q.router, q.since, q.ended) {
+	if q.conn == nil || q.answer.Status != 0 || h.disturbed(q.router, q.idleSince, q.ended) {
 		return
 	}
-	if !q.whole.IsZero() && q.ended.Sub(q.whole) > slack {
-		w.fault("%s %s was neither answered nor refused by %s for %v: %s", q.kind, q.id, q.router.name, q.ended.Sub(q.whole), q.way())
+	if !q.fullySent.IsZero() && q.ended.Sub(q.fullySent) > latencySlack {
+		h.addViolation("%s %s was neither answered nor refused by %s for %v: %s", q.route, q.id, q.router.name, q.ended.Sub(q.fullySent), q.timing())
 	}
-	if q.conn.habit != late && !w.stopping(q.router, q.since, q.ended) {
-		w.fault("%s %s was not answered by %s: %s", q.kind, q.id, q.router.name, q.way())
+	if q.conn.idleBehavior != idlesPastLimit && !h.stopping(q.router, q.idleSince, q.ended) {
+		h.addViolation("%s %s was not answered by %s: %s", q.route, q.id, q.router.name, q.timing())
 	}
 }
 
-// way is how the request was sent.
-func (q *request) way() string {
-	return fmt.Sprintf("sent %s in %d parts after %v idle, ended %v later by %v", q.sent.Format("05.000"), q.parts,
-		q.sent.Sub(q.since), q.ended.Sub(q.sent), q.answer.Err)
+// timing describes how and when the request was sent, for messages.
+func (q *request) timing() string {
+	return fmt.Sprintf("sent %s in %d parts after %v idle, ended %v later, error: %v", q.sent.Format("05.000"), q.parts,
+		q.sent.Sub(q.idleSince), q.ended.Sub(q.sent), q.answer.Err)
 }
 
-// checkStopping: a router that is told to stop serves on for as long as the balancer may send it clients.
-func (w *world) checkStopping(q *request) {
-	if q.answer.Status == http.StatusServiceUnavailable && q.router.leaves(q.sent) && !w.disturbed(q.router, q.sent, q.ended) {
-		w.fault("%s %s was refused by %s, which had just been told to stop", q.kind, q.id, q.router.name)
+// checkServesWhileStopping verifies that a router that was told to stop keeps serving while the load balancer may still
+// send it clients.
+func (h *harness) checkServesWhileStopping(q *request) {
+	if q.answer.Status == http.StatusServiceUnavailable && q.router.justToldToStop(q.sent) && !h.disturbed(q.router, q.sent, q.ended) {
+		h.addViolation("%s %s was refused by %s, which had just been told to stop", q.route, q.id, q.router.name)
 	}
 }
 
-// checkAccepted: for as long, it takes new connections.
-func (w *world) checkAccepted() {
-	for _, r := range w.routers {
-		for _, at := range r.closed {
-			if r.leaves(at) && !w.disturbed(r, at, at) {
-				w.fault("%s, which had just been told to stop, refused a connection", r.name)
+// checkAcceptsWhileStopping verifies that it accepts new connections for just as long.
+func (h *harness) checkAcceptsWhileStopping() {
+	for _, r := range h.routers {
+		for _, at := range r.refusedDials {
+			if r.justToldToStop(at) && !h.disturbed(r, at, at) {
+				h.addViolation("%s, which had just been told to stop, refused a connection", r.name)
 			}
 		}
 	}
 }
 
-// checkForward: a process that has served a version serves no older one again.
-func (w *world) checkForward() {
-	type life struct {
-		router *router
-		boot   int
+// checkVersionOrder verifies that a process that has served with one configuration version never serves with an older
+// one afterwards.
+func (h *harness) checkVersionOrder() {
+	type routerProcess struct {
+		router      *router
+		routerStart int
 	}
 	type effect struct {
 		at      time.Time
 		version int
 	}
-	newest := map[life]effect{}
-	requests := slices.Clone(w.requests)
+	newest := map[routerProcess]effect{}
+	requests := slices.Clone(h.requests)
 	slices.SortFunc(requests, func(a, b *request) int { return a.ended.Compare(b.ended) })
 	for _, q := range requests {
 		if q.answer.Status != http.StatusOK {
@@ -200,9 +206,9 @@
 		}
 		version := 0
 		_, _ = fmt.Sscanf(q.key, "key%d", &version)
-		l := life{q.router, q.boot}
-		if version < newest[l].version && q.sent.Sub(newest[l].at) > slack && !w.disturbed(q.router, q.sent, q.ended) {
-			w.fault("%s served %s by %s after version %d", q.router.name, q.id, q.key, newest[l].version)
+		l := routerProcess{q.router, q.routerStart}
+		if version < newest[l].version && q.sent.Sub(newest[l].at) > latencySlack && !h.disturbed(q.router, q.sent, q.ended) {
+			h.addViolation("%s served %s with %s after version %d", q.router.name, q.id, q.key, newest[l].version)
 		}
 		if version > newest[l].version {
 			newest[l] = effect{at: q.ended, version: version}
@@ -210,64 +216,65 @@
 	}
 }
 
-// checkLeaving: a server that leaves gets no new work after a while.
-func (w *world) checkLeaving() {
+// checkDrained verifies that an endpoint that is leaving gets no new requests after drainDelay.
+func (h *harness) checkDrained() {
 	sent := map[string]*request{}
-	for _, q := range w.requests {
+	for _, q := range h.requests {
 		sent[q.id] = q
 	}
-	for _, b := range w.servers {
-		for _, a := range b.Arrivals() {
+	for _, e := range h.endpoints {
+		for _, a := range e.Arrivals() {
 			q := sent[a.ID]
-			if b.left.IsZero() || q == nil || a.At.Sub(b.left) < drain || q.sent.Sub(b.left) < drain {
+			if e.leavingSince.IsZero() || q == nil || a.At.Sub(e.leavingSince) < drainDelay || q.sent.Sub(e.leavingSince) < drainDelay {
 				continue
 			}
-			if !w.disturbed(q.router, b.left, a.At) {
-				w.fault("%s reached server %s by %s %v after it said that it leaves", a.ID, b.options.ID, q.router.name, a.At.Sub(b.left))
+			if !h.disturbed(q.router, e.leavingSince, a.At) {
+				h.addViolation("%s reached endpoint %s through %s %v after it announced that it is leaving", a.ID, e.options.ID, q.router.name, a.At.Sub(e.leavingSince))
 			}
 		}
 	}
 }
 
-// checkRetries: in every window, all routers together send a service no more than a share of its requests, and the slack,
-// beyond the first sending of each. The requests of the window, the one before it, or the one half a window before count.
-func (w *world) checkRetries(by arrivals) {
-	asked, again := map[string][]time.Time{}, map[string][]time.Time{}
-	for _, q := range w.requests {
-		service := serviceOf(q.kind)
-		asked[service] = append(asked[service], q.sent)
-		for i, a := range by[q.id] {
+// checkRetryBudget verifies that in every window all routers together send a service no more retries than retryRatio of
+// its requests plus retrySlack. The number of requests is the largest of those in the window itself, in the window
+// before it, and in the window that begins half a window earlier.
+func (h *harness) checkRetryBudget(arrivals arrivalsByRequest) {
+	requestTimes, retryTimes := map[string][]time.Time{}, map[string][]time.Time{}
+	for _, q := range h.requests {
+		service := serviceOf(q.route)
+		requestTimes[service] = append(requestTimes[service], q.sent)
+		for i, a := range arrivals[q.id] {
 			if i > 0 {
-				again[service] = append(again[service], a.At)
+				retryTimes[service] = append(retryTimes[service], a.At)
 			}
 		}
 	}
-	for service, list := range again {
+	for service, list := range retryTimes {
 		for _, from := range list {
-			n := inWindow(list, from)
-			requests := max(inWindow(asked[service], from), inWindow(asked[service], from.Add(-window/2)),
-				inWindow(asked[service], from.Add(-window)))
+			n := countInWindow(list, from)
+			requests := max(countInWindow(requestTimes[service], from), countInWindow(requestTimes[service], from.Add(-retryWindow/2)),
+				countInWindow(requestTimes[service], from.Add(-retryWindow)))
 			if float64(n) > retryRatio*float64(requests)+retrySlack {
-				w.fault("%d retries at %s in %v of %d requests", n, service, window, requests)
+				h.addViolation("%d retries to %s in %v with %d requests", n, service, retryWindow, requests)
 				return
 			}
 		}
 	}
 }
 
-func serviceOf(kind string) string {
-	if kind == "draft" || kind == "talk" {
-		return models
+func serviceOf(route string) string {
+	if route == "draft" || route == "talk" {
+		return modelService
 	}
-	return plain
+	return plainService
 }
 
-// window is that in which retries are counted.
-const window = 10 * time.Second
+// retryWindow is the length of the window in which retries are counted.
+const retryWindow = 10 * time.Second
 
-func inWindow(list []time.Time, from time.Time) (n int) {
+func countInWindow(list []time.Time, from time.Time) (n int) {
 	for _, at := range list {
-		if !at.Before(from) && at.Sub(from) <= window {
+		if !at.Before(from) && at.Sub(from) <= retryWindow {
 			n++
 		}
 	}
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -10,93 +10,94 @@
 	"savoryfall/platform/standin/client"
 )
 
-// request is one attempt of a client and what came of it.
+// request is one request of a client and its result.
 type request struct {
-	id, kind, key string
-	router        *router
-	boot          int
-	sent, ended   time.Time
-	answer        client.Answer
-	// quit tells that the client left before the answer was whole.
-	quit bool
-	// conn is the connection if it may serve several, since when it was idle, and parts in how many the request was sent.
-	conn  *conn
-	since time.Time
-	parts int
-	// whole is when the last byte was sent, zero when that failed.
-	whole time.Time
+	id, route, key string
+	router         *router
+	routerStart    int
+	sent, ended    time.Time
+	answer         client.Answer
+	// abandon is set if the client disconnected before the answer was complete.
+	abandon bool
+	// conn is set if the connection can be reused, idleSince is when the connection became idle, and parts is the
+	// number of writes that the request was split into.
+	conn      *conn
+	idleSince time.Time
+	parts     int
+	// fullySent is when the last byte was sent, or zero if sending failed.
+	fullySent time.Time
 }
 
-// conn is a connection that a client uses for one request after the other.
+// conn is a connection that a client uses for several requests in sequence.
 type conn struct {
 	*client.Conn
-	habit habit
-	dice  *rand.Rand
-	// since is when the last answer came, or the connection was made.
-	since time.Time
+	idleBehavior idleBehavior
+	random       *rand.Rand
+	// idleSince is when the last answer was read, or when the connection was opened.
+	idleSince time.Time
 }
 
-// habit is for how long a client leaves its connection idle between two requests.
-type habit int
+// idleBehavior determines how long a client leaves its connection idle between two requests.
+type idleBehavior int
 
 const (
-	// brisk is for some milliseconds, patient for as long as it may, late for longer: its request may meet the router's
-	// end of the connection.
-	brisk habit = iota
-	patient
-	late
+	// idlesBriefly is a few milliseconds and idlesWithinLimit up to the idle limit. idlesPastLimit exceeds the limit,
+	// so the request may arrive while the router is closing the connection.
+	idlesBriefly idleBehavior = iota
+	idlesWithinLimit
+	idlesPastLimit
 )
 
-// dial connects a client, and notes when nobody accepts.
-func (r *router) dial(h habit, dice *rand.Rand) (c *conn, err error) {
-	raw, err := client.Dial(r.clients)
+// dial opens a client connection, and records the time if the router refuses it.
+func (r *router) dial(idling idleBehavior, random *rand.Rand) (c *conn, err error) {
+	raw, err := client.Dial(r.clientAddress)
 	if err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.closed = append(r.closed, time.Now())
+		r.refusedDials = append(r.refusedDials, time.Now())
 	}
-	return &conn{Conn: raw, habit: h, dice: dice, since: time.Now()}, err
+	return &conn{Conn: raw, idleBehavior: idling, random: random, idleSince: time.Now()}, err
 }
 
-// idleFor is for how long the client leaves the connection idle.
-func (w *world) idleFor(c *conn) (d time.Duration) {
-	switch c.habit {
-	case patient:
-		return w.mayIdle() - time.Duration(c.dice.IntN(2)*c.dice.IntN(1000))*time.Millisecond
-	case late:
-		return w.knownIdle() + time.Duration(c.dice.IntN(2500))*time.Millisecond
+// idleTime returns how long the client leaves the connection idle before its next request.
+func (h *harness) idleTime(c *conn) (d time.Duration) {
+	switch c.idleBehavior {
+	case idlesWithinLimit:
+		return h.safeIdleTime() - time.Duration(c.random.IntN(2)*c.random.IntN(1000))*time.Millisecond
+	case idlesPastLimit:
+		return h.knownIdleLimit() + time.Duration(c.random.IntN(2500))*time.Millisecond
 	}
-	return time.Duration(c.dice.IntN(20)) * time.Millisecond
+	return time.Duration(c.random.IntN(20)) * time.Millisecond
 }
 
-// send writes the request, some times in parts.
+// send writes the request, sometimes in several parts.
 func (c *conn) send(q *request, msg client.Request) (err error) {
-	q.conn, q.since = c, c.since
-	if c.dice.IntN(4) == 0 {
-		msg.Body = strings.Repeat("x", c.dice.IntN(2)*c.dice.IntN(4000))
-		q.parts = 2 + c.dice.IntN(2)
+	q.conn, q.idleSince = c, c.idleSince
+	if c.random.IntN(4) == 0 {
+		msg.Body = strings.Repeat("x", c.random.IntN(2)*c.random.IntN(4000))
+		q.parts = 2 + c.random.IntN(2)
 	}
-	err = c.SendInParts(msg, q.parts, time.Duration(10+c.dice.IntN(60))*time.Millisecond)
+	err = c.SendInParts(msg, q.parts, time.Duration(10+c.random.IntN(60))*time.Millisecond)
 	if err == nil {
-		q.whole = time.Now()
+		q.fullySent = time.Now()
 	}
 	return err
 }
 
-// ask sends one request by the newest key and waits for its answer, on the connection when there is one.
-func (w *world) ask(r *router, c *conn, kind string) client.Answer {
-	w.mu.Lock()
-	key := w.key
-	w.mu.Unlock()
-	return w.askWith(r, c, kind, key)
+// send sends one request with the newest key and waits for its answer; a nil connection means a new one.
+func (h *harness) send(r *router, c *conn, route string) client.Answer {
+	h.mu.Lock()
+	key := h.key
+	h.mu.Unlock()
+	return h.sendWithKey(r, c, route, key)
 }
 
-func (w *world) askWith(r *router, c *conn, kind, key string) client.Answer {
-	q := &request{id: fmt.Sprint("r", w.number.Add(1)), kind: kind, key: key, router: r, sent: time.Now(), parts: 1}
-	q.since, q.boot = q.sent, r.life()
-	msg := client.Request{Method: http.MethodPost, Host: host, Path: "/" + kind + "/" + q.id, ID: q.id, Key: key}
+func (h *harness) sendWithKey(r *router, c *conn, route, key string) client.Answer {
+	q := &request{id: fmt.Sprint("r", h.nextID.Add(1)), route: route, key: key, router: r, sent: time.Now(), parts: 1}
+	q.idleSince, q.routerStart = q.sent, r.startCount()
+	msg := client.Request{Method: http.MethodPost, Host: host, Path: "/" + route + "/" + q.id, ID: q.id, Key: key}
 	if c == nil {
-		q.answer = client.Ask(r.clients, msg)
+		q.answer = client.Ask(r.clientAddress, msg)
 	} else {
 		err := c.send(q, msg)
 		if err == nil {
@@ -104,81 +105,82 @@
 		} else {
 			q.answer.Err = err
 		}
-		c.since = time.Now()
+		c.idleSince = time.Now()
 	}
 	q.ended = time.Now()
-	w.note(q)
+	h.recordRequest(q)
 	return q.answer
 }
 
-// quit sends a stream's request and leaves before it can be whole.
-func (w *world) quit(r *router) {
-	c, err := client.Dial(r.clients)
+// abandon sends a streaming request and disconnects before the answer can be complete.
+func (h *harness) abandon(r *router) {
+	c, err := client.Dial(r.clientAddress)
 	if err != nil {
 		return
 	}
-	w.mu.Lock()
-	key := w.key
-	w.mu.Unlock()
-	q := &request{id: fmt.Sprint("r", w.number.Add(1)), kind: "draft", key: key, router: r, sent: time.Now(), quit: true, parts: 1}
-	q.since, q.boot = q.sent, r.life()
+	h.mu.Lock()
+	key := h.key
+	h.mu.Unlock()
+	q := &request{id: fmt.Sprint("r", h.nextID.Add(1)), route: "draft", key: key, router: r, sent: time.Now(), abandon: true, parts: 1}
+	q.idleSince, q.routerStart = q.sent, r.startCount()
 	_ = c.Send(client.Request{Method: http.MethodPost, Host: host, Path: "/draft/" + q.id, ID: q.id, Key: key})
-	<-time.After(2 * step)
+	<-time.After(2 * eventInterval)
 	c.Close()
 	q.ended = time.Now()
-	w.note(q)
+	h.recordRequest(q)
 }
 
-func (w *world) note(q *request) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.requests = append(w.requests, q)
+func (h *harness) recordRequest(q *request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.requests = append(h.requests, q)
 }
 
-// client uses one connection after the other, each for many requests until it ends, also while its router is stopping.
-func (w *world) client(random *rand.Rand, h habit) {
+// runClient opens connections one after the other and sends many requests on each until it ends, even while its router
+// is stopping.
+func (h *harness) runClient(random *rand.Rand, idling idleBehavior) {
 	for {
-		r := w.routers[random.IntN(len(w.routers))]
-		c, err := r.dial(h, random)
+		r := h.routers[random.IntN(len(h.routers))]
+		c, err := r.dial(idling, random)
 		if err != nil {
-			if w.over(20 * time.Millisecond) {
+			if h.doneWithin(20 * time.Millisecond) {
 				return
 			}
 			continue
 		}
-		for n := 1 + random.IntN(30); n > 0 && c.Usable(); n-- {
-			if w.over(w.idleFor(c)) {
+		for remaining := 1 + random.IntN(30); remaining > 0 && c.Usable(); remaining-- {
+			if h.doneWithin(h.idleTime(c)) {
 				c.Close()
 				return
 			}
-			if h != late && time.Since(c.since) > w.mayIdle()+slack {
+			if idling != idlesPastLimit && time.Since(c.idleSince) > h.safeIdleTime()+latencySlack {
 				break
 			}
-			w.one(r, c, random)
+			h.sendRandomRequest(r, c, random)
 		}
 		c.Close()
 	}
 }
 
-func (w *world) one(r *router, c *conn, random *rand.Rand) {
-	kinds := []string{"read", "book", "draft", "talk"}
+func (h *harness) sendRandomRequest(r *router, c *conn, random *rand.Rand) {
+	routes := []string{"read", "book", "draft", "talk"}
 	switch random.IntN(12) {
 	case 0:
-		w.quit(r)
+		h.abandon(r)
 	case 1, 2:
-		w.mu.Lock()
-		old := fmt.Sprint("key", random.IntN(w.version+1))
-		w.mu.Unlock()
-		w.askWith(r, c, kinds[random.IntN(len(kinds))], old)
+		h.mu.Lock()
+		old := fmt.Sprint("key", random.IntN(h.version+1))
+		h.mu.Unlock()
+		h.sendWithKey(r, c, routes[random.IntN(len(routes))], old)
 	default:
-		w.ask(r, c, kinds[random.IntN(len(kinds))])
+		h.send(r, c, routes[random.IntN(len(routes))])
 	}
 }
 
-// over waits, and tells whether the run has ended.
-func (w *world) over(d time.Duration) bool {
+// doneWithin waits for d, and returns true if the run ends within that time.
+func (h *harness) doneWithin(d time.Duration) bool {
 	select {
-	case <-w.done:
+	case <-h.done:
 		return true
 	case <-time.After(d):
 		return false
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,2 +1,3 @@
-// Package soak holds a randomized run of real routers as processes, under faults from outside.
+// Package soak runs real router processes under randomized load and injected faults, and checks what clients and
+// endpoints observe.
 package soak
--- /dev/null
+++ b/soak/endpoints_test.go
@@ -0,0 +1,131 @@
+package soak_test
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"savoryfall/platform/standin/server"
+)
+
+// endpoint is one stand-in server behind its link. The next endpoint reuses the link's address.
+type endpoint struct {
+	*server.Server
+	options server.Options
+	link    *link
+	http    *http.Server
+	mu      sync.Mutex
+	removed bool
+	// leavingSince is when the store accepted the entry that says that the endpoint is leaving.
+	leavingSince time.Time
+}
+
+const (
+	engineSlots     = 32
+	plainSlots      = 16
+	eventsPerStream = 8
+	eventInterval   = 10 * time.Millisecond
+	runTime         = 20 * time.Millisecond
+	// Streams below slowPath take most of a second, so that a stop, a crash or a reset interrupts some of them.
+	slowPath        = "/talk/"
+	heartbeatPeriod = 400 * time.Millisecond
+)
+
+func (h *harness) endpointOptions(service string) (o server.Options) {
+	o = server.Options{ID: fmt.Sprintf("s%d", h.nextID.Add(1)), Service: service, Zone: "a", Slots: plainSlots, Work: runTime}
+	if service == modelService {
+		o.Slots, o.Events, o.Step, o.Slow = engineSlots, eventsPerStream, eventInterval, slowPath
+	}
+	return o
+}
+
+// startEndpoint starts an endpoint behind the link, or behind a new link if l is nil.
+func (h *harness) startEndpoint(o server.Options, l *link) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	assert.NilError(h.t, err)
+	if l == nil {
+		l = h.link(listener.Addr().String())
+	}
+	l.setTarget(listener.Addr().String())
+	o.Address = l.address()
+	e := &endpoint{Server: server.New(o), options: o, link: l}
+	e.http = &http.Server{Handler: e.Server}
+	go func() { _ = e.http.Serve(listener) }()
+	h.t.Cleanup(func() { _ = e.http.Close() })
+	h.mu.Lock()
+	h.endpoints = append(h.endpoints, e)
+	h.mu.Unlock()
+	h.writeEntry(e)
+	go h.renewEntry(e)
+}
+
+// renewEntry rewrites the endpoint's entry once per heartbeat until the endpoint or the run ends.
+func (h *harness) renewEntry(e *endpoint) {
+	for {
+		select {
+		case <-h.done:
+			return
+		case <-time.After(heartbeatPeriod):
+		}
+		if !h.writeEntry(e) {
+			return
+		}
+	}
+}
+
+func (h *harness) writeEntry(e *endpoint) (alive bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.removed {
+		h.store.Put("keyed.servers", e.options.ID, e.Entry())
+	}
+	return !e.removed
+}
+
+// drainEndpoint announces that the endpoint is leaving, lets it serve until requests should have stopped, and removes
+// it.
+func (h *harness) drainEndpoint(e *endpoint) {
+	e.Leave()
+	h.writeEntry(e)
+	e.mu.Lock()
+	e.leavingSince = time.Now()
+	e.mu.Unlock()
+	<-time.After(drainDelay + time.Second)
+	h.removeEndpoint(e)
+}
+
+// crashEndpoint ends the endpoint without an announcement; its entry is deleted after three heartbeats.
+func (h *harness) crashEndpoint(e *endpoint) {
+	e.mu.Lock()
+	e.removed = true
+	e.mu.Unlock()
+	_ = e.http.Close()
+	e.link.reset()
+	time.AfterFunc(3*heartbeatPeriod, func() { h.store.Put("keyed.servers", e.options.ID, nil) })
+}
+
+func (h *harness) removeEndpoint(e *endpoint) {
+	e.mu.Lock()
+	e.removed = true
+	e.mu.Unlock()
+	h.store.Put("keyed.servers", e.options.ID, nil)
+	_ = e.http.Close()
+}
+
+// liveEndpoints returns the endpoints of the service that are neither leaving nor removed.
+func (h *harness) liveEndpoints(service string) (list []*endpoint) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, e := range h.endpoints {
+		e.mu.Lock()
+		if e.options.Service == service && !e.removed && e.leavingSince.IsZero() {
+			list = append(list, e)
+		}
+		e.mu.Unlock()
+	}
+	return list
+}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -8,236 +8,241 @@
 	"time"
 )
 
-// trouble is one fault, and where it was: a router's name, or empty for all.
-type trouble struct {
-	what, where string
-	from, to    time.Time
-	// planned is work that excuses nothing but the router's own readiness.
+// fault is a fault that was injected; target is a router's name, or empty if it affects all routers.
+type fault struct {
+	kind, target string
+	from, to     time.Time
+	// planned marks planned maintenance, which clients must not notice; only the router's own readiness may change.
 	planned bool
 }
 
-func (w *world) trouble(what, where string, last time.Duration, planned bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// fault records an injected fault that begins now.
+func (h *harness) fault(kind, target string, duration time.Duration, planned bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	now := time.Now()
-	w.troubles = append(w.troubles, trouble{what: what, where: where, from: now, to: now.Add(last), planned: planned})
+	h.faults = append(h.faults, fault{kind: kind, target: target, from: now, to: now.Add(duration), planned: planned})
 }
 
-// disturbed tells whether an unplanned fault reached the router between contact before from, and to.
-func (w *world) disturbed(r *router, from, to time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, t := range w.troubles {
-		if !t.planned && (t.where == "" || t.where == r.name) && t.to.Add(contact).After(from) && t.from.Before(to) {
+// disturbed returns whether an unplanned fault affected the router between from and to, or within settleTime before
+// from.
+func (h *harness) disturbed(r *router, from, to time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, t := range h.faults {
+		if !t.planned && (t.target == "" || t.target == r.name) && t.to.Add(settleTime).After(from) && t.from.Before(to) {
 			return true
 		}
 	}
 	return false
 }
 
-// stopping tells whether the router had been told to stop, or was, between from and to.
-func (w *world) stopping(r *router, from, to time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, t := range w.troubles {
-		if t.what == toldToStop && t.where == r.name && t.to.After(from) && t.from.Before(to) {
+// stopping returns whether a planned stop of the router was in progress at any time between from and to.
+func (h *harness) stopping(r *router, from, to time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, t := range h.faults {
+		if t.kind == stopFault && t.target == r.name && t.to.After(from) && t.from.Before(to) {
 			return true
 		}
 	}
 	return false
 }
 
-// toldToStop is the trouble of a planned stop, which lasts for the grace.
-const toldToStop = "told to stop"
+// stopFault is the kind of a planned stop, whose duration is stopGrace.
+const stopFault = "told to stop"
 
 const (
-	stormLength = 4 * time.Second
-	// longest is that of one fault; longer than keys may be used after their withdrawal.
-	longest = keyTerm + 1500*time.Millisecond
+	faultPhase = 4 * time.Second
+	// maxFaultDuration limits a single fault. It exceeds keyTerm, so that a fault can outlast the use of a withdrawn
+	// key.
+	maxFaultDuration = keyTerm + 1500*time.Millisecond
 )
 
-// storm lets faults begin at any moment, so that they come in series and overlap.
-func (w *world) storm() {
-	var under sync.WaitGroup
-	under.Go(w.cutOff)
-	under.Go(w.resets)
-	for end := time.Now().Add(stormLength); time.Now().Before(end); {
-		kind, r := w.random.IntN(14), w.routers[w.random.IntN(len(w.routers))]
-		last := 100*time.Millisecond + time.Duration(w.random.Int64N(int64(longest)))
-		dice := rand.New(rand.NewPCG(w.random.Uint64(), 0))
-		under.Go(func() { w.strike(kind, r, last, dice) })
-		<-time.After(time.Duration(50+w.random.IntN(500)) * time.Millisecond)
+// injectFaults starts faults at random moments, so that they occur in series and overlap.
+func (h *harness) injectFaults() {
+	var running sync.WaitGroup
+	running.Go(h.isolateRouter)
+	running.Go(h.resetEndpoints)
+	for end := time.Now().Add(faultPhase); time.Now().Before(end); {
+		kind, r := h.random.IntN(14), h.routers[h.random.IntN(len(h.routers))]
+		duration := 100*time.Millisecond + time.Duration(h.random.Int64N(int64(maxFaultDuration)))
+		faultRandom := rand.New(rand.NewPCG(h.random.Uint64(), 0))
+		running.Go(func() { h.injectFault(kind, r, duration, faultRandom) })
+		<-time.After(time.Duration(50+h.random.IntN(500)) * time.Millisecond)
 	}
-	under.Wait()
+	running.Wait()
 }
 
-// cutOff is in every storm: a router hears nothing of a key's withdrawal until after its term, neither from the store nor
-// from another router.
-func (w *world) cutOff() {
-	r := w.routers[len(w.routers)-1]
-	w.trouble("cut off", "", longest, false)
+// isolateRouter is part of every fault phase: it keeps a router from learning of a key's withdrawal, from the store or
+// from another router, until keyTerm has passed.
+func (h *harness) isolateRouter() {
+	r := h.routers[len(h.routers)-1]
+	h.fault("isolated", "", maxFaultDuration, false)
 	links := []*link{r.store}
-	for _, other := range w.routers {
+	for _, other := range h.routers {
 		links = append(links, other.peers)
 	}
 	for _, l := range links {
-		l.hold(there)
-		l.hold(back)
+		l.block(toTarget)
+		l.block(fromTarget)
 	}
-	<-time.After(slack)
-	w.mu.Lock()
-	old := w.key
-	w.mu.Unlock()
-	w.configure(shortIdle)
-	<-time.After(longest - 2*slack)
+	<-time.After(latencySlack)
+	h.mu.Lock()
+	old := h.key
+	h.mu.Unlock()
+	h.writeConfiguration(shortIdleLimit)
+	<-time.After(maxFaultDuration - 2*latencySlack)
 	for range 5 {
-		w.askWith(r, nil, "read", old)
+		h.sendWithKey(r, nil, "read", old)
 	}
 	for _, l := range links {
 		l.heal()
 	}
 }
 
-// resets are in every storm: servers break off what they are at, some times in a row.
-func (w *world) resets() {
+// resetEndpoints is part of every fault phase: it resets the connections of all endpoints several times in a row.
+func (h *harness) resetEndpoints() {
 	for range 6 {
-		w.trouble("servers reset", "", 0, false)
-		for _, b := range append(w.alive(models), w.alive(plain)...) {
-			b.link.reset()
+		h.fault("endpoints reset", "", 0, false)
+		for _, e := range append(h.liveEndpoints(modelService), h.liveEndpoints(plainService)...) {
+			e.link.reset()
 		}
-		<-time.After(slack)
+		<-time.After(latencySlack)
 	}
 }
 
-func (w *world) strike(kind int, r *router, last time.Duration, dice *rand.Rand) {
+func (h *harness) injectFault(kind int, r *router, duration time.Duration, random *rand.Rand) {
 	switch kind {
 	case 0:
-		w.trouble("killed", r.name, 0, false)
+		h.fault("killed", r.name, 0, false)
 		r.kill()
-		w.start(r)
+		h.start(r)
 	case 1:
-		w.pause(r, last)
+		h.pauseRouter(r, duration)
 	case 2:
-		w.trouble(toldToStop, r.name, grace, true)
+		h.fault(stopFault, r.name, stopGrace, true)
 		r.signal(syscall.SIGTERM)
-		w.start(r)
+		h.start(r)
 	case 3:
-		w.trouble("settings changed", r.name, 0, true)
+		h.fault("settings reloaded", r.name, 0, true)
 		r.signal(syscall.SIGHUP)
 	case 4:
-		w.harm(r.store, "store cut", r.name, last, dice)
+		h.injectLinkFault(r.store, "store link", r.name, duration, random)
 	case 5:
-		w.harm(r.peers, "peers cut", "", last, dice)
+		h.injectLinkFault(r.peers, "peer link", "", duration, random)
 	case 6, 7:
-		b := w.anyServer(dice)
-		w.harm(b.link, "server cut", "", last, dice)
+		e := h.randomEndpoint(random)
+		h.injectLinkFault(e.link, "endpoint link", "", duration, random)
 	case 8:
-		w.restartServer(dice)
+		h.replaceEndpoint(random)
 	case 9:
-		w.during("store down", last, func(on bool) { w.store.SetDown(on) })
+		h.injectStoreFault("store down", duration, func(on bool) { h.store.SetDown(on) })
 	case 10:
-		w.during("store silent", last, func(on bool) { w.store.SetSilent(on) })
+		h.injectStoreFault("store silent", duration, func(on bool) { h.store.SetSilent(on) })
 	case 11:
-		w.during("store slow", last, func(on bool) { w.store.SetSlow(map[bool]time.Duration{true: 200 * time.Millisecond}[on]) })
+		h.injectStoreFault("store slow", duration, func(on bool) { h.store.SetSlow(map[bool]time.Duration{true: 200 * time.Millisecond}[on]) })
 	case 12:
-		w.trouble("store forgets", "", 0, false)
-		w.store.Forget("keyed.servers")
-		w.store.Forget("keyed.op")
-		w.store.Lose(1)
+		h.fault("store expired records", "", 0, false)
+		h.store.Forget("keyed.servers")
+		h.store.Forget("keyed.op")
+		h.store.Lose(1)
 	case 13:
-		w.configure([]time.Duration{shortIdle, longIdle}[dice.IntN(2)])
+		h.writeConfiguration([]time.Duration{shortIdleLimit, longIdleLimit}[random.IntN(2)])
 	}
 }
 
-func (w *world) pause(r *router, last time.Duration) {
-	w.trouble("paused", r.name, last, false)
+func (h *harness) pauseRouter(r *router, duration time.Duration) {
+	h.fault("paused", r.name, duration, false)
 	r.signal(syscall.SIGSTOP)
-	<-time.After(last)
+	<-time.After(duration)
 	r.signal(syscall.SIGCONT)
 }
 
-func (w *world) during(what string, last time.Duration, set func(on bool)) {
-	w.trouble(what, "", last, false)
+func (h *harness) injectStoreFault(kind string, duration time.Duration, set func(on bool)) {
+	h.fault(kind, "", duration, false)
 	set(true)
-	<-time.After(last)
+	<-time.After(duration)
 	set(false)
 }
 
-// harm does one of five things to a link until it heals.
-func (w *world) harm(l *link, what, where string, last time.Duration, dice *rand.Rand) {
-	how := dice.IntN(5)
-	w.trouble(fmt.Sprint(what, " ", []string{"there", "back", "both", "slow", "reset"}[how]), where, last, false)
-	switch how {
+// injectLinkFault applies one of five faults to a link and heals it after the duration.
+func (h *harness) injectLinkFault(l *link, kind, target string, duration time.Duration, random *rand.Rand) {
+	effect := random.IntN(5)
+	h.fault(fmt.Sprint(kind, " ", []string{"to target blocked", "from target blocked", "blocked", "slow", "reset"}[effect]), target, duration, false)
+	switch effect {
 	case 0:
-		l.hold(there)
+		l.block(toTarget)
 	case 1:
-		l.hold(back)
+		l.block(fromTarget)
 	case 2:
-		l.hold(there)
-		l.hold(back)
+		l.block(toTarget)
+		l.block(fromTarget)
 	case 3:
-		l.slow(30 * time.Millisecond)
+		l.setDelay(30 * time.Millisecond)
 	case 4:
 		l.reset()
 	}
-	<-time.After(last)
+	<-time.After(duration)
 	l.heal()
 }
 
-func (w *world) anyServer(dice *rand.Rand) *backend {
-	list := append(w.alive(models), w.alive(plain)...)
-	return list[dice.IntN(len(list))]
+func (h *harness) randomEndpoint(random *rand.Rand) *endpoint {
+	list := append(h.liveEndpoints(modelService), h.liveEndpoints(plainService)...)
+	return list[random.IntN(len(list))]
 }
 
-// restartServer crashes a server. Another starts at its address, under the same id or as a server of the other service.
-func (w *world) restartServer(dice *rand.Rand) {
-	b := w.anyServer(dice)
-	if len(w.alive(b.options.Service)) < 2 {
+// replaceEndpoint crashes an endpoint and starts another at the same address, with a new ID, for the same or the other
+// service.
+func (h *harness) replaceEndpoint(random *rand.Rand) {
+	e := h.randomEndpoint(random)
+	if len(h.liveEndpoints(e.options.Service)) < 2 {
 		return
 	}
-	w.trouble("server crashed", "", 500*time.Millisecond, false)
-	w.crash(b)
+	h.fault("endpoint crashed", "", 500*time.Millisecond, false)
+	h.crashEndpoint(e)
 	<-time.After(500 * time.Millisecond)
-	o := w.optionsOf([]string{models, plain}[dice.IntN(2)])
-	w.serve(o, b.link)
+	o := h.endpointOptions([]string{modelService, plainService}[random.IntN(2)])
+	h.startEndpoint(o, e.link)
 }
 
-// recover heals everything and waits until all routers serve.
-func (w *world) recover() {
-	for _, r := range w.routers {
+// recover ends all faults and waits until all routers serve.
+func (h *harness) recover() {
+	for _, r := range h.routers {
 		r.signal(syscall.SIGCONT)
 		r.store.heal()
 		r.peers.heal()
 	}
-	for _, service := range []string{models, plain} {
-		for len(w.alive(service)) < 3 {
-			w.serve(w.optionsOf(service), nil)
+	for _, service := range []string{modelService, plainService} {
+		for len(h.liveEndpoints(service)) < 3 {
+			h.startEndpoint(h.endpointOptions(service), nil)
 		}
 	}
-	for _, r := range w.routers {
-		if !w.serves(r, recovery) {
-			w.fault("%s does not serve %v after the faults", r.name, recovery)
+	for _, r := range h.routers {
+		if !h.waitUntilServing(r, recoveryTimeout) {
+			h.addViolation("%s does not serve %v after the faults ended", r.name, recoveryTimeout)
 		}
 	}
 }
 
-// calm is for the promises that hold while nothing is disturbed, around planned work: a server leaves, configurations
-// come, of which the second lowers the limit for connections that became idle by the first, a router is told to stop.
-func (w *world) calm() {
-	<-time.After(contact)
+// makePlannedChanges performs planned maintenance for the checks that apply without faults: one endpoint of each
+// service leaves, two configurations are written, of which the second lowers the limit for connections that became idle
+// under the first, one router is told to stop, and one reloads its settings.
+func (h *harness) makePlannedChanges() {
+	<-time.After(settleTime)
 	var planned sync.WaitGroup
-	planned.Go(func() { w.leave(w.alive(models)[0]) })
-	planned.Go(func() { w.leave(w.alive(plain)[0]) })
-	w.configure(longIdle)
-	lower := applied + time.Second + time.Duration(w.random.IntN(1000))*time.Millisecond
+	planned.Go(func() { h.drainEndpoint(h.liveEndpoints(modelService)[0]) })
+	planned.Go(func() { h.drainEndpoint(h.liveEndpoints(plainService)[0]) })
+	h.writeConfiguration(longIdleLimit)
+	lower := configurationDelay + time.Second + time.Duration(h.random.IntN(1000))*time.Millisecond
 	planned.Go(func() {
 		<-time.After(lower)
-		w.configure(shortIdle)
+		h.writeConfiguration(shortIdleLimit)
 	})
-	r := w.routers[w.random.IntN(len(w.routers))]
-	planned.Go(func() { w.strike(2, r, 0, nil) })
-	<-time.After(time.Duration(w.random.IntN(500)) * time.Millisecond)
-	w.strike(3, w.routers[w.random.IntN(len(w.routers))], 0, nil)
+	r := h.routers[h.random.IntN(len(h.routers))]
+	planned.Go(func() { h.injectFault(2, r, 0, nil) })
+	<-time.After(time.Duration(h.random.IntN(500)) * time.Millisecond)
+	h.injectFault(3, h.routers[h.random.IntN(len(h.routers))], 0, nil)
 	planned.Wait()
-	<-time.After(applied)
+	<-time.After(configurationDelay)
 }
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -10,29 +10,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// link is a proxy on loopback between two programs, which harms what passes. Bytes that are held up are delivered when
-// the link heals, as those behind a cut are, unless the connection was reset meanwhile.
+// link is a loopback proxy between two programs that can delay, block or reset its connections. Blocked bytes are
+// delivered when the link heals, as they are after a network partition, unless the connection was reset in the
+// meantime.
 type link struct {
 	listener net.Listener
 	mu       sync.Mutex
 	target   string
 	delay    time.Duration
-	held     [2]chan struct{}
+	blocked  [2]chan struct{}
 	open     map[net.Conn]bool
 }
 
 // The directions of a link.
 const (
-	there = 0
-	back  = 1
+	toTarget   = 0
+	fromTarget = 1
 )
 
-func (w *world) link(target string) (l *link) {
+// link opens a link to the target address.
+func (h *harness) link(target string) (l *link) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	assert.NilError(w.t, err)
+	assert.NilError(h.t, err)
 	l = &link{listener: listener, target: target, open: map[net.Conn]bool{}}
 	go l.accept()
-	w.t.Cleanup(func() {
+	h.t.Cleanup(func() {
 		l.heal()
 		_ = listener.Close()
 		l.reset()
@@ -48,26 +50,26 @@
 		if err != nil {
 			return
 		}
-		go l.carry(c)
+		go l.serveConn(c)
 	}
 }
 
-func (l *link) carry(from net.Conn) {
-	l.wait(there)
+func (l *link) serveConn(from net.Conn) {
+	l.waitToDeliver(toTarget)
 	l.mu.Lock()
 	target := l.target
 	l.mu.Unlock()
 	to, err := net.Dial("tcp4", target)
 	if err != nil {
-		abort(from)
+		resetConn(from)
 		return
 	}
 	l.mu.Lock()
 	l.open[from], l.open[to] = true, true
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { l.pump(to, from, there) })
-	both.Go(func() { l.pump(from, to, back) })
+	both.Go(func() { l.copyStream(to, from, toTarget) })
+	both.Go(func() { l.copyStream(from, to, fromTarget) })
 	both.Wait()
 	l.mu.Lock()
 	delete(l.open, from)
@@ -77,16 +79,17 @@
 	_ = to.Close()
 }
 
-// pump passes bytes on. An end is passed on as an end, a break as a break: a cut answer must not come to look whole.
-func (l *link) pump(to, from net.Conn, direction int) {
+// copyStream copies one direction of a connection. It passes on a close as a close and a reset as a reset, so that a
+// truncated answer never looks complete.
+func (l *link) copyStream(to, from net.Conn, direction int) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		l.wait(direction)
+		l.waitToDeliver(direction)
 		if n > 0 {
 			_, failed := to.Write(buf[:n])
 			if failed != nil {
-				abort(from)
+				resetConn(from)
 				return
 			}
 		}
@@ -95,48 +98,48 @@
 			return
 		}
 		if err != nil {
-			abort(to)
+			resetConn(to)
 			return
 		}
 	}
 }
 
-func abort(c net.Conn) {
+func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-func (l *link) wait(direction int) {
+func (l *link) waitToDeliver(direction int) {
 	l.mu.Lock()
-	held, delay := l.held[direction], l.delay
+	blocked, delay := l.blocked[direction], l.delay
 	l.mu.Unlock()
-	if held != nil {
-		<-held
+	if blocked != nil {
+		<-blocked
 	}
 	<-time.After(delay)
 }
 
-// hold stops one direction until the link heals.
-func (l *link) hold(direction int) {
+// block stops one direction until the link heals.
+func (l *link) block(direction int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held[direction] == nil {
-		l.held[direction] = make(chan struct{})
+	if l.blocked[direction] == nil {
+		l.blocked[direction] = make(chan struct{})
 	}
 }
 
-func (l *link) slow(d time.Duration) {
+func (l *link) setDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// reset breaks all connections that are open.
+// reset resets all open connections.
 func (l *link) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
-		abort(c)
+		resetConn(c)
 	}
 }
 
@@ -144,15 +147,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = 0
-	for i, held := range l.held {
-		if held != nil {
-			close(held)
-			l.held[i] = nil
+	for i, blocked := range l.blocked {
+		if blocked != nil {
+			close(blocked)
+			l.blocked[i] = nil
 		}
 	}
 }
 
-func (l *link) retarget(target string) {
+func (l *link) setTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -13,118 +13,119 @@
 	"gotest.tools/v3/assert"
 )
 
-// router is one process, and its addresses and links, which outlive it.
+// router is a router process together with its addresses and links, which are kept when the process is replaced.
 type router struct {
-	name    string
-	file    string
-	clients string
-	store   *link
-	peers   *link
-
-	// starting is held while a process ends and another starts.
-	starting sync.Mutex
-
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	boot int
-	// since is when the process was started.
-	since time.Time
-	// stops are when processes that had run for a while were told to stop, closed when connections were refused.
-	stops, closed []time.Time
-	// told is set when the process was told to end, exited closed when it has.
-	told   bool
-	exited chan struct{}
+	name          string
+	settingsFile  string
+	clientAddress string
+	store         *link
+	peers         *link
+
+	// startMu is held while one process exits and the next one starts.
+	startMu sync.Mutex
+
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	starts int
+	// started is when the current process was started.
+	started time.Time
+	// stopTimes are when processes that had run for longer than settleTime were told to stop, refusedDials when
+	// connections were refused.
+	stopTimes, refusedDials []time.Time
+	// stopRequested is set when the process has been told to exit; exited is closed when it has exited.
+	stopRequested bool
+	exited        chan struct{}
 }
 
-// deaf is for how long after its start a process is not told of changed settings: before its first instruction the
-// signal ends any process, and one that has no clients yet loses none. It reads the settings afterwards in any case.
-const deaf = 100 * time.Millisecond
+// minReloadAge is the age below which a process is not sent SIGHUP: the signal kills a process that has not installed
+// its handler yet. A process that young has no clients, and it reads the settings afterwards in any case.
+const minReloadAge = 100 * time.Millisecond
 
-// ports are below those that the system gives out.
+// firstPort is the first of a router's ports, which are below the system's ephemeral ports.
 const firstPort = 20001
 
-// locate writes the settings of a router with addresses of its own, behind links of its own.
-func (w *world) locate(i int) (r *router) {
+// newRouter writes the settings of a router that has its own addresses and links.
+func (h *harness) newRouter(i int) (r *router) {
 	var addresses [4]string
-	for p := range addresses {
-		// A loopback address of its own: nobody else takes a port there while the process is down.
-		addresses[p] = fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%250, 1+w.place%250, 1+i, firstPort+p)
+	for port := range addresses {
+		// Each router has its own loopback address, so that nothing else takes its ports while the process is down.
+		addresses[port] = fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%250, 1+h.runIndex%250, 1+i, firstPort+port)
 	}
 	r = &router{
-		name: fmt.Sprintf("vm%d", i), file: filepath.Join(w.dir, fmt.Sprintf("vm%d.toml", i)), clients: addresses[0],
-		store: w.link(w.url), peers: w.link(addresses[3]),
+		name: fmt.Sprintf("vm%d", i), settingsFile: filepath.Join(h.dir, fmt.Sprintf("vm%d.toml", i)), clientAddress: addresses[0],
+		store: h.link(h.storeAddress), peers: h.link(addresses[3]),
 	}
-	w.write(r, addresses)
+	h.writeSettings(r, addresses)
 	return r
 }
 
-func (w *world) write(r *router, addresses [4]string) {
+func (h *harness) writeSettings(r *router, addresses [4]string) {
 	text := fmt.Sprintf("[vm]\nname = %q\nfailureDomain = \"a\"\n[clients]\naddress = %q\n[readiness]\naddress = %q\n"+
 		"[metrics]\naddress = %q\n[peers]\naddress = %q\nannounced = %q\n[store]\naddress = %q\n[keys]\nwithdrawnWithin = %q\n"+
 		"[retries]\nratio = %v\nslack = %d\n[stop]\ngrace = %q\n",
 		r.name, addresses[0], addresses[1], addresses[2], addresses[3], r.peers.address(), r.store.address(), keyTerm,
-		retryRatio, retrySlack, grace)
-	assert.NilError(w.t, os.WriteFile(r.file, []byte(text), 0o600))
+		retryRatio, retrySlack, stopGrace)
+	assert.NilError(h.t, os.WriteFile(r.settingsFile, []byte(text), 0o600))
 }
 
-// start waits for the process before to end, and starts another, unless somebody has done so already. One that ends
-// without being told is a fault, and is started again, as the platform does.
-func (w *world) start(r *router) {
-	r.starting.Lock()
-	defer r.starting.Unlock()
+// start waits for the previous process to exit and starts a new one, unless one is running already. A process that
+// exits without being told to is a violation and is restarted, as the platform does.
+func (h *harness) start(r *router) {
+	r.startMu.Lock()
+	defer r.startMu.Unlock()
 	r.mu.Lock()
-	running, before := r.cmd != nil && !r.told, r.exited
+	running, before := r.cmd != nil && !r.stopRequested, r.exited
 	r.mu.Unlock()
-	w.mu.Lock()
-	ended := w.ended
-	w.mu.Unlock()
-	if running || ended {
+	h.mu.Lock()
+	stopped := h.stopped
+	h.mu.Unlock()
+	if running || stopped {
 		return
 	}
 	if before != nil {
 		<-before
 	}
-	log, err := os.OpenFile(r.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	assert.NilError(w.t, err)
+	log, err := os.OpenFile(r.settingsFile+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	assert.NilError(h.t, err)
 	defer func() { _ = log.Close() }()
-	cmd := exec.Command(w.binary, "entry", "--settings", r.file)
+	cmd := exec.Command(h.binary, "entry", "--settings", r.settingsFile)
 	cmd.Stdout, cmd.Stderr = log, log
-	assert.NilError(w.t, cmd.Start())
+	assert.NilError(h.t, cmd.Start())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cmd, r.told, r.exited, r.since = cmd, false, make(chan struct{}), time.Now()
-	r.boot++
-	go w.supervise(r, cmd, r.exited)
+	r.cmd, r.stopRequested, r.exited, r.started = cmd, false, make(chan struct{}), time.Now()
+	r.starts++
+	go h.supervise(r, cmd, r.exited)
 }
 
-func (w *world) supervise(r *router, cmd *exec.Cmd, exited chan struct{}) {
+func (h *harness) supervise(r *router, cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
-	// Before the next process may start, which has not been told.
+	// Set before the next process can start, because that one has not been told to stop.
 	r.mu.Lock()
-	told := r.told
-	r.told = true
+	stopRequested := r.stopRequested
+	r.stopRequested = true
 	r.mu.Unlock()
 	close(exited)
-	if told {
+	if stopRequested {
 		return
 	}
-	w.fault("%s ended by itself: %v", r.name, err)
-	w.trouble("ended by itself", r.name, 0, false)
-	w.start(r)
+	h.addViolation("%s exited without being told to: %v", r.name, err)
+	h.fault("exited unexpectedly", r.name, 0, false)
+	h.start(r)
 }
 
-// signal reaches only the process that this run started last here, and none once that has ended.
-func (r *router) signal(s syscall.Signal) {
+// signal signals only the process that this run started last for the router, and nothing once that process has exited.
+func (r *router) signal(sig syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s == syscall.SIGHUP && time.Since(r.since) < deaf {
+	if sig == syscall.SIGHUP && time.Since(r.started) < minReloadAge {
 		return
 	}
-	if s == syscall.SIGTERM && !r.told && time.Since(r.since) > contact {
-		r.stops = append(r.stops, time.Now())
+	if sig == syscall.SIGTERM && !r.stopRequested && time.Since(r.started) > settleTime {
+		r.stopTimes = append(r.stopTimes, time.Now())
 	}
-	r.told = r.told || s == syscall.SIGKILL || s == syscall.SIGTERM
-	_ = r.cmd.Process.Signal(s)
+	r.stopRequested = r.stopRequested || sig == syscall.SIGKILL || sig == syscall.SIGTERM
+	_ = r.cmd.Process.Signal(sig)
 }
 
 func (r *router) kill() {
@@ -135,24 +136,25 @@
 	<-exited
 }
 
-// leaves tells whether at that time a planned stop had begun and the balancer might not know yet.
-func (r *router) leaves(at time.Time) bool {
+// justToldToStop returns whether at that time a planned stop had begun less than balancerDelay before, so that the load
+// balancer might still send clients.
+func (r *router) justToldToStop(at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.ContainsFunc(r.stops, func(stop time.Time) bool { return !at.Before(stop) && at.Sub(stop) <= balancer })
+	return slices.ContainsFunc(r.stopTimes, func(stop time.Time) bool { return !at.Before(stop) && at.Sub(stop) <= balancerDelay })
 }
 
-// life is which of its processes the router is now.
-func (r *router) life() int {
+// startCount returns how often the router's process has been started.
+func (r *router) startCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.boot
+	return r.starts
 }
 
-// serves waits until the router serves.
-func (w *world) serves(r *router, patience time.Duration) (ok bool) {
-	for began := time.Now(); time.Since(began) < patience; {
-		if w.ask(r, nil, "read").Whole {
+// waitUntilServing sends requests until the router serves one, and returns false after the timeout.
+func (h *harness) waitUntilServing(r *router, timeout time.Duration) (ok bool) {
+	for began := time.Now(); time.Since(began) < timeout; {
+		if h.send(r, nil, "read").Whole {
 			return true
 		}
 		<-time.After(50 * time.Millisecond)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -10,25 +10,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSoak plays seeds against the router as it is. By hand, with fresh seeds:
+// TestSoak runs one or more seeds against the unmodified router. To run it by hand with other seeds:
 //
 //	SOAK_SEEDS=50 SOAK_FIRST=1000 go test ./soak -run TestSoak -parallel 4 -timeout 60m
 //
-// SOAK_ROUTERS and SOAK_ROUNDS make a run larger or longer.
+// SOAK_ROUTERS sets the number of routers, and SOAK_ROUNDS the number of fault phases.
 func TestSoak(t *testing.T) {
-	binary := build(t)
+	binary := buildRouter(t)
 	first := number("SOAK_FIRST", 1)
 	for seed := first; seed < first+number("SOAK_SEEDS", 1); seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, binary, uint64(seed))
-			assert.Equal(t, len(w.faults()), 0, "%s", w.report())
+			h := runSeed(t, binary, uint64(seed))
+			assert.Equal(t, len(h.foundViolations()), 0, "%s", h.report())
 		})
 	}
 }
 
-// build makes the router, with the flags given.
-func build(t *testing.T, flags ...string) (binary string) {
+// buildRouter builds the router with the given build flags and returns the path of the binary.
+func buildRouter(t *testing.T, flags ...string) (binary string) {
 	t.Helper()
 	binary = filepath.Join(t.TempDir(), "savoryfall")
 	args := append([]string{"build", "-o", binary}, flags...)
@@ -37,6 +37,7 @@
 	return binary
 }
 
+// number returns the integer value of an environment variable, or the fallback if it has none.
 func number(name string, fallback int) int {
 	n, err := strconv.Atoi(os.Getenv(name))
 	if err != nil {
--- a/soak/variants_test.go
+++ b/soak/variants_test.go
@@ -10,67 +10,68 @@
 	"gotest.tools/v3/assert"
 )
 
-// variant is the router without one safeguard: a text of a source file replaced by another.
+// variant is the router without one safeguard: one piece of text in a source file is replaced by another.
 type variant struct {
-	file, text, instead string
+	file, text, replacement string
 }
 
-// Each variant is broken in a way that clients or servers would suffer from; the soak has to notice within its seeds.
+// Each variant has a defect that would harm clients or endpoints; the soak test has to detect it within five seeds.
 var variants = map[string]variant{
-	"keysNeverGrowOld": {
+	"withdrawnKeysNeverExpire": {
 		"core/freshness/lease.go", "return known && age < time.Duration(l.term.Load())", "return known && age >= 0",
 	},
-	"everythingIsRepeated": {
+	"everyRequestIsRetried": {
 		"core/routetable/table.go", "return k == Idempotent || k == ResumableStream", "return true",
 	},
-	"unknownIsToldAsNotRun": {
+	"unknownOutcomeReportedAsNotRun": {
 		"platform/front/front.go", "return http.StatusBadGateway", "return http.StatusServiceUnavailable",
 	},
-	"leavingIsIgnored": {
+	"leavingEndpointsGetRequests": {
 		"core/directory/directory.go", "if !r.removed && !r.entry.Leaving {", "if !r.removed {",
 	},
-	"stopCutsRequests": {
+	"stopAbortsRequests": {
 		"io/clientconn/set.go", "return len(s.all())", "return 0",
 	},
-	"stoppingRefusesAtOnce": {
+	"stoppingRouterRefusesAtOnce": {
 		"io/entry/server.go", "const leaveShare = 0.34", "const leaveShare = 0",
 	},
 	"loweredLimitEndsIdleConnections": {
 		"io/clientconn/set.go", "> max(idle, c.limit)+idleSlack", "> s.limits().Idle+idleSlack",
 	},
-	"keyIsPassedOn": {
+	"clientKeyIsForwarded": {
 		"platform/backend/backend.go", "\"Authorization\", headerInstance", "headerInstance",
 	},
 }
 
-// TestBrokenVariantsAreCaught shows that the soak's checks see what they are for.
+// TestBrokenVariantsAreCaught verifies that the checks of the soak test detect the defects that they are meant to
+// detect.
 func TestBrokenVariantsAreCaught(t *testing.T) {
 	for name, v := range variants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			binary := build(t, "-overlay", v.overlay(t))
+			binary := buildRouter(t, "-overlay", v.overlay(t))
 			for seed := uint64(1); seed <= 5; seed++ {
-				w := play(t, binary, seed)
-				if len(w.faults()) > 0 {
-					t.Logf("caught by seed %d: %s", seed, w.faults()[0])
+				h := runSeed(t, binary, seed)
+				if len(h.foundViolations()) > 0 {
+					t.Logf("detected by seed %d: %s", seed, h.foundViolations()[0])
 					return
 				}
 			}
-			t.Fatal("five seeds found nothing wrong")
+			t.Fatal("five seeds found no violation")
 		})
 	}
 }
 
-// overlay is the file that makes the build take the changed source in place of the real one.
+// overlay returns the path of a go build overlay file that replaces the source file by its changed version.
 func (v variant) overlay(t *testing.T) (file string) {
 	t.Helper()
 	path, err := filepath.Abs(filepath.Join("..", v.file))
 	assert.NilError(t, err)
 	source, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	assert.Equal(t, strings.Count(string(source), v.text), 1, "%s has changed: %s", v.file, v.text)
+	assert.Equal(t, strings.Count(string(source), v.text), 1, "%s does not contain this text exactly once: %s", v.file, v.text)
 	changed := filepath.Join(t.TempDir(), "changed.go")
-	assert.NilError(t, os.WriteFile(changed, []byte(strings.Replace(string(source), v.text, v.instead, 1)), 0o600))
+	assert.NilError(t, os.WriteFile(changed, []byte(strings.Replace(string(source), v.text, v.replacement, 1)), 0o600))
 	text, err := json.Marshal(map[string]map[string]string{"Replace": {path: changed}})
 	assert.NilError(t, err)
 	file = filepath.Join(t.TempDir(), "overlay.json")
