--- a/io/standin/engine/batch.go
+++ b/io/standin/engine/batch.go
@@ -8,42 +8,43 @@
 	"savoryfall/core/report"
 )
 
-// sequence is one request in the engine; its tokens channel holds all it can make, so that a step never waits.
+// sequence is one request in the engine. Its tokens channel has room for all tokens of the answer, so that a step never
+// blocks.
 type sequence struct {
-	attempt  string
-	priority int
-	arrived  time.Time
-	prompt   []prefix
-	cached   int
-	prefill  int
-	seed     uint64
-	made     int
-	want     int
-	tokens   chan int
-	gone     bool
+	attempt     string
+	priority    int
+	arrived     time.Time
+	prompt      []prefix
+	cached      int
+	prefillLeft int
+	seed        uint64
+	generated   int
+	length      int
+	tokens      chan int
+	done        bool
 }
 
-func (e *Engine) admit(s *sequence) {
+func (e *Engine) enqueue(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.arrived = time.Now()
 	e.waiting = append(e.waiting, s)
 }
 
-// step moves waiting sequences into the batch by priority, spends the prefill budget and makes tokens.
+// step schedules sequences into the batch by priority, spends the prefill budget and generates tokens.
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.faults.Frozen {
-		e.fill()
-		e.advance()
+		e.schedule()
+		e.runBatch()
 	}
-	e.remember(now)
+	e.recordReport(now)
 }
 
-func (e *Engine) fill() {
-	e.running = dropGone(e.running)
-	e.waiting = dropGone(e.waiting)
+func (e *Engine) schedule() {
+	e.running = withoutDone(e.running)
+	e.waiting = withoutDone(e.waiting)
 	all := slices.Concat(e.running, e.waiting)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].priority < all[j].priority })
 	n := min(len(all), e.opts.Batch)
@@ -51,72 +52,72 @@
 	e.waiting = append([]*sequence{}, all[n:]...)
 }
 
-func dropGone(list []*sequence) (kept []*sequence) {
+func withoutDone(list []*sequence) (kept []*sequence) {
 	for _, s := range list {
-		if !s.gone {
+		if !s.done {
 			kept = append(kept, s)
 		}
 	}
 	return kept
 }
 
-func (e *Engine) advance() {
+func (e *Engine) runBatch() {
 	budget := e.opts.PrefillTokens
 	for _, s := range e.running {
-		if s.prefill > 0 {
-			spent := min(s.prefill, budget)
-			s.prefill -= spent
+		if s.prefillLeft > 0 {
+			spent := min(s.prefillLeft, budget)
+			s.prefillLeft -= spent
 			budget -= spent
-			if s.prefill > 0 {
+			if s.prefillLeft > 0 {
 				continue
 			}
-			e.publish(e.cache.put(s.prompt))
+			e.publish(e.cache.add(s.prompt))
 		}
-		e.emit(s)
+		e.generate(s)
 	}
 }
 
-func (e *Engine) emit(s *sequence) {
-	n := min(e.opts.TokensPerStep, s.want-s.made)
+func (e *Engine) generate(s *sequence) {
+	n := min(e.opts.TokensPerStep, s.length-s.generated)
 	for range n {
-		s.tokens <- s.made
-		s.made++
+		s.tokens <- s.generated
+		s.generated++
 	}
-	if s.made >= s.want {
+	if s.generated >= s.length {
 		close(s.tokens)
-		s.gone = true
+		s.done = true
 	}
 }
 
-func (e *Engine) leave(s *sequence) {
+func (e *Engine) markDone(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.gone = true
+	s.done = true
 }
 
-const rememberedReports = 512
+const maxReportHistory = 512
 
-// remember keeps reports for a while, because what the engine tells lags behind what it does.
-func (e *Engine) remember(now time.Time) {
-	e.past = append(e.past, pastReport{at: now, r: e.current()})
-	if len(e.past) > rememberedReports {
-		e.past = e.past[1:]
+// recordReport keeps a history of reports, because the reports that the engine sends lag behind its state.
+func (e *Engine) recordReport(now time.Time) {
+	e.reportHistory = append(e.reportHistory, recordedReport{at: now, r: e.currentReport()})
+	if len(e.reportHistory) > maxReportHistory {
+		e.reportHistory = e.reportHistory[1:]
 	}
 }
 
-func (e *Engine) current() (r report.Report) {
+func (e *Engine) currentReport() (r report.Report) {
 	r.Incarnation = e.incarnation
 	r.Fence = e.fence
 	for _, s := range e.running {
-		if !s.gone {
+		if !s.done {
 			r.Running++
-			r.Tokens += int64(s.prefill)
+			r.Tokens += int64(s.prefillLeft)
 		}
 	}
 	for _, s := range e.waiting {
-		if !s.gone {
+		if !s.done {
 			r.Waiting++
-			r.Tokens += int64(s.prefill)
+			r.Tokens += int64(s.prefillLeft)
 		}
 	}
 	return r
@@ -126,11 +127,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	r = e.current()
-	for i := len(e.past) - 1; i >= 0; i-- {
-		r = e.past[i].r
-		r.AgeMs = now.Sub(e.past[i].at).Milliseconds()
-		if now.Sub(e.past[i].at) >= e.opts.ReportLag {
+	r = e.currentReport()
+	for i := len(e.reportHistory) - 1; i >= 0; i-- {
+		r = e.reportHistory[i].r
+		r.AgeMs = now.Sub(e.reportHistory[i].at).Milliseconds()
+		if now.Sub(e.reportHistory[i].at) >= e.opts.ReportLag {
 			break
 		}
 	}
--- a/io/standin/engine/cache.go
+++ b/io/standin/engine/cache.go
@@ -7,87 +7,87 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefix is the prompt up to and including one message.
+// prefix is a prompt up to and including one of its messages.
 type prefix struct {
 	hash   uint64
 	tokens int
 }
 
 const (
-	bytesPerToken     = 4
-	tokensPerMessage  = 4
-	hexadecimalDigits = 16
+	bytesPerToken         = 4
+	messageOverheadTokens = 4
+	hashDigits            = 16
 )
 
-// prefixes cuts the prompt at its messages; each hash covers all messages before it.
-func prefixes(messages []message) (cut []prefix) {
+// promptPrefixes returns the prefixes that end at each message; the hash of each covers all messages up to its end.
+func promptPrefixes(messages []message) (prompt []prefix) {
 	h := xxhash.New()
 	for _, m := range messages {
 		text := m.text()
 		_, _ = h.WriteString(m.Role + "\x00" + text + "\x00")
-		cut = append(cut, prefix{hash: h.Sum64(), tokens: len(text)/bytesPerToken + tokensPerMessage})
+		prompt = append(prompt, prefix{hash: h.Sum64(), tokens: len(text)/bytesPerToken + messageOverheadTokens})
 	}
-	return cut
+	return prompt
 }
 
-func totalTokens(cut []prefix) (n int) {
-	for _, p := range cut {
+func totalTokens(prompt []prefix) (n int) {
+	for _, p := range prompt {
 		n += p.tokens
 	}
 	return n
 }
 
-// prefixCache forgets the prefix that was used longest ago when its memory is full.
+// prefixCache is a cache of prefixes with a capacity in tokens and least-recently-used eviction.
 type prefixCache struct {
-	limit int
-	used  int
-	order *list.List
-	by    map[uint64]*list.Element
+	capacity int
+	used     int
+	recency  *list.List
+	byHash   map[uint64]*list.Element
 }
 
-func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), by: map[uint64]*list.Element{}}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, recency: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// hit is how many tokens of the prompt need no prefill; the last message always does.
-func (c *prefixCache) hit(cut []prefix) (tokens int) {
-	for i, p := range cut {
-		e, ok := c.by[p.hash]
-		if !ok || i == len(cut)-1 {
+// lookUp returns how many tokens of the prompt need no prefill; the last message always needs it.
+func (c *prefixCache) lookUp(prompt []prefix) (tokens int) {
+	for i, p := range prompt {
+		e, ok := c.byHash[p.hash]
+		if !ok || i == len(prompt)-1 {
 			break
 		}
-		c.order.MoveToFront(e)
+		c.recency.MoveToFront(e)
 		tokens += p.tokens
 	}
 	return tokens
 }
 
-// put keeps the prefixes, and returns the events of what was added and forgotten.
-func (c *prefixCache) put(cut []prefix) (events []Event) {
-	for i := len(cut) - 1; i >= 0; i-- {
-		p := cut[i]
-		if e, ok := c.by[p.hash]; ok {
-			c.order.MoveToFront(e)
+// add caches the prefixes, and returns the events for what was added and evicted.
+func (c *prefixCache) add(prompt []prefix) (events []Event) {
+	for i := len(prompt) - 1; i >= 0; i-- {
+		p := prompt[i]
+		if e, ok := c.byHash[p.hash]; ok {
+			c.recency.MoveToFront(e)
 			continue
 		}
-		c.by[p.hash] = c.order.PushFront(p)
+		c.byHash[p.hash] = c.recency.PushFront(p)
 		c.used += p.tokens
-		events = append(events, Event{Kind: eventStored, Prefix: p.name()})
+		events = append(events, Event{Kind: eventStored, Prefix: p.hexHash()})
 	}
-	for c.used > c.limit && c.order.Len() > 0 {
+	for c.used > c.capacity && c.recency.Len() > 0 {
 		events = append(events, c.evict())
 	}
 	return events
 }
 
 func (c *prefixCache) evict() Event {
-	e := c.order.Back()
-	p := c.order.Remove(e).(prefix)
-	delete(c.by, p.hash)
+	e := c.recency.Back()
+	p := c.recency.Remove(e).(prefix)
+	delete(c.byHash, p.hash)
 	c.used -= p.tokens
-	return Event{Kind: eventRemoved, Prefix: p.name()}
+	return Event{Kind: eventRemoved, Prefix: p.hexHash()}
 }
 
-func (p prefix) name() string {
-	return fmt.Sprintf("%0*x", hexadecimalDigits, p.hash)
+func (p prefix) hexHash() string {
+	return fmt.Sprintf("%0*x", hashDigits, p.hash)
 }
--- a/io/standin/engine/completions.go
+++ b/io/standin/engine/completions.go
@@ -22,7 +22,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// text is the content, which is a string or an array of parts.
+// text returns the content: the string itself, or the JSON of an array of parts.
 func (m message) text() string {
 	var s string
 	if json.Unmarshal(m.Content, &s) == nil {
@@ -42,48 +42,48 @@
 }
 
 const (
-	maxBody      = 32 << 20
-	maxAnswer    = 1 << 16
-	defaultWants = 24
-	spreadWants  = 40
+	maxBodyBytes       = 32 << 20
+	maxAnswerTokens    = 1 << 16
+	baseAnswerTokens   = 24
+	answerTokensSpread = 40
 )
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	h := e.takeFaults()
-	if h.drop {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	faults := e.nextRequestFaults()
+	if faults.drop {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(header.Load, e.report().Header())
 	w.Header().Set(header.Request, r.Header.Get(header.Request))
 	w.Header().Set(header.Attempt, r.Header.Get(header.Attempt))
-	if h.refuse {
+	if faults.refuse {
 		refuse(w, http.StatusServiceUnavailable, "leaving")
 		return
 	}
 	var req completionRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&req); err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if h.fail {
+	if faults.fail {
 		http.Error(w, "engine error", http.StatusInternalServerError)
 		return
 	}
-	if !e.serves(req.Model) {
+	if !e.hasModel(req.Model) {
 		refuse(w, http.StatusServiceUnavailable, "model not loaded")
 		return
 	}
-	if h.cross {
+	if faults.wrongAttempt {
 		w.Header().Set(header.Attempt, "somebody-else")
 	}
 	s := e.newSequence(r, req)
-	e.admit(s)
-	defer e.leave(s)
-	e.write(w, r, req, s, h)
+	e.enqueue(s)
+	defer e.markDone(s)
+	e.writeAnswer(w, r, req, s, faults)
 }
 
-// serves tells whether the model itself, or any version of it, is loaded.
-func (e *Engine) serves(model string) bool {
+// hasModel returns whether the model itself, or any version of it, is loaded.
+func (e *Engine) hasModel(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id := range e.loaded {
@@ -94,40 +94,41 @@
 	return false
 }
 
-// refuse promises that nothing of the request was acted on.
+// refuse rejects a request and states in a header that no part of it was executed.
 func refuse(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(header.Outcome, string(outcome.NotRun))
 	http.Error(w, text, status)
 }
 
 func (e *Engine) newSequence(r *http.Request, req completionRequest) *sequence {
-	cut := prefixes(req.Messages)
-	s := &sequence{attempt: r.Header.Get(header.Attempt), prompt: cut}
+	prefixes := promptPrefixes(req.Messages)
+	s := &sequence{attempt: r.Header.Get(header.Attempt), prompt: prefixes}
 	s.priority, _ = strconv.Atoi(r.Header.Get(header.Priority))
-	s.seed = cut[max(len(cut)-1, 0)].hash
-	s.want = wanted(req, s.seed)
+	s.seed = prefixes[max(len(prefixes)-1, 0)].hash
+	s.length = answerLength(req, s.seed)
 	if req.Resume != nil {
-		s.made = min(strings.Count(req.Resume.Text, " "), s.want)
+		s.generated = min(strings.Count(req.Resume.Text, " "), s.length)
 	}
-	total := totalTokens(cut)
+	total := totalTokens(prefixes)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.cached = e.cache.hit(cut)
-	e.promptSum += int64(total)
-	e.cachedSum += int64(s.cached)
+	s.cached = e.cache.lookUp(prefixes)
+	e.promptTokens += int64(total)
+	e.cachedTokens += int64(s.cached)
 	e.served++
-	s.prefill = max(total-s.cached, 1)
-	s.tokens = make(chan int, s.want-s.made+1)
+	s.prefillLeft = max(total-s.cached, 1)
+	s.tokens = make(chan int, s.length-s.generated+1)
 	return s
 }
 
-var wantsPattern = regexp.MustCompile(`#(\d+)`)
+var answerLengthPattern = regexp.MustCompile(`#(\d+)`)
 
-// wanted is how many tokens the answer has: as the last message says with #N, else by its hash.
-func wanted(req completionRequest, seed uint64) (n int) {
-	n = defaultWants + int(seed%spreadWants)
+// answerLength returns the number of tokens in the answer: N if the last message contains #N, otherwise a number
+// derived from its hash.
+func answerLength(req completionRequest, seed uint64) (n int) {
+	n = baseAnswerTokens + int(seed%answerTokensSpread)
 	if len(req.Messages) > 0 {
-		found := wantsPattern.FindStringSubmatch(req.Messages[len(req.Messages)-1].text())
+		found := answerLengthPattern.FindStringSubmatch(req.Messages[len(req.Messages)-1].text())
 		if found != nil {
 			n, _ = strconv.Atoi(found[1])
 		}
@@ -135,24 +136,24 @@
 	if req.MaxTokens > 0 {
 		n = min(n, req.MaxTokens)
 	}
-	return min(max(n, 1), maxAnswer)
+	return min(max(n, 1), maxAnswerTokens)
 }
 
-// word is the text of one token, the same on every engine, so that a resumed answer can be checked.
-func word(seed uint64, n int) string {
+// tokenText returns the text of one token. It is the same on every engine, so that tests can check a resumed answer.
+func tokenText(seed uint64, n int) string {
 	return fmt.Sprintf(" w%04x", xxhash.Sum64String(fmt.Sprint(seed, n))&0xffff)
 }
 
-// Answer is the whole text that an engine makes for the messages when nothing fails.
+// Answer returns the complete text that any engine generates for the messages if no fault occurs.
 func Answer(messagesJSON []byte) (text string) {
 	var messages []message
 	if json.Unmarshal(messagesJSON, &messages) != nil || len(messages) == 0 {
 		return ""
 	}
-	cut := prefixes(messages)
-	seed := cut[len(cut)-1].hash
-	for n := range wanted(completionRequest{Messages: messages}, seed) {
-		text += word(seed, n)
+	prompt := promptPrefixes(messages)
+	seed := prompt[len(prompt)-1].hash
+	for n := range answerLength(completionRequest{Messages: messages}, seed) {
+		text += tokenText(seed, n)
 	}
 	return text
 }
@@ -188,27 +189,27 @@
 }
 
 func (s *sequence) usage() *usage {
-	u := &usage{PromptTokens: totalTokens(s.prompt), CompletionTokens: s.want}
+	u := &usage{PromptTokens: totalTokens(s.prompt), CompletionTokens: s.length}
 	u.TotalTokens = u.PromptTokens + u.CompletionTokens
 	u.Details.CachedTokens = s.cached
 	return u
 }
 
-// write waits for the first token, so that the headers say what the prompt found cached.
-func (e *Engine) write(w http.ResponseWriter, r *http.Request, req completionRequest, s *sequence, h hit) {
+// writeAnswer sends the answer, with headers that tell how many tokens of the prompt were cached.
+func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, req completionRequest, s *sequence, faults requestFaults) {
 	w.Header().Set(header.PromptTokens, strconv.Itoa(totalTokens(s.prompt)))
 	w.Header().Set(header.CachedTokens, strconv.Itoa(s.cached))
 	select {
-	case <-time.After(time.Duration(h.lateMs) * time.Millisecond):
+	case <-time.After(time.Duration(faults.delayMs) * time.Millisecond):
 	case <-r.Context().Done():
 		return
 	}
 	c := completion{ID: "chatcmpl-" + s.attempt, Created: time.Now().Unix(), Model: req.Model}
-	text, whole := e.stream(w, r, req, s, h, c)
-	if !whole || h.truncate {
+	text, complete := e.generateAnswer(w, r, req, s, faults, c)
+	if !complete || faults.truncate {
 		return
 	}
-	e.keepAnswer(req, text)
+	e.cacheAnswer(req, text)
 	stop := "stop"
 	if req.Stream {
 		c.Object = "chat.completion.chunk"
@@ -221,65 +222,65 @@
 	c.Object = "chat.completion"
 	c.Choices = []choice{{Message: &delta{Role: "assistant", Content: text}, FinishReason: &stop}}
 	c.Usage = s.usage()
-	wire.Write(w, c)
+	wire.WriteJSON(w, c)
 }
 
-// stream collects the answer, and sends it event by event when the request asks for that.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req completionRequest, s *sequence, h hit, c completion) (text string, whole bool) {
+// generateAnswer collects the answer, and sends it event by event if the request asks for a stream.
+func (e *Engine) generateAnswer(w http.ResponseWriter, r *http.Request, req completionRequest, s *sequence, faults requestFaults, c completion) (text string, complete bool) {
 	var b strings.Builder
 	if req.Resume != nil {
 		b.WriteString(req.Resume.Text)
 	}
 	c.Object = "chat.completion.chunk"
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	sent := 0
 	for {
 		select {
 		case <-r.Context().Done():
 			return "", false
-		case n, more := <-s.tokens:
-			if !more {
+		case n, open := <-s.tokens:
+			if !open {
 				return b.String(), true
 			}
-			piece := e.gather(s, n)
-			b.WriteString(piece.text)
-			sent += piece.tokens
+			next := e.nextChunk(s, n)
+			b.WriteString(next.text)
+			sent += next.tokens
 			if req.Stream {
-				c.Choices = []choice{{Delta: &delta{Role: "assistant", Content: piece.text}}}
+				c.Choices = []choice{{Delta: &delta{Role: "assistant", Content: next.text}}}
 				w.Header().Set("Content-Type", "text/event-stream")
 				writeEvent(w, c)
-				_ = flush.Flush()
+				_ = controller.Flush()
 			}
-			if h.die && sent >= h.dieAfter {
+			if faults.abort && sent >= faults.stopAfterTokens {
 				panic(http.ErrAbortHandler)
 			}
-			if h.truncate && sent >= h.dieAfter {
+			if faults.truncate && sent >= faults.stopAfterTokens {
 				return "", false
 			}
-			if piece.last {
+			if next.last {
 				return b.String(), true
 			}
 		}
 	}
 }
 
-type piece struct {
+type chunk struct {
 	text   string
 	tokens int
 	last   bool
 }
 
-// gather joins the tokens that one step made into one event.
-func (e *Engine) gather(s *sequence, first int) (p piece) {
-	p = piece{text: word(s.seed, first), tokens: 1}
+// nextChunk joins the tokens of one step into one event.
+func (e *Engine) nextChunk(s *sequence, first int) (p chunk) {
+	p = chunk{text: tokenText(s.seed, first), tokens: 1}
 	for p.tokens < e.opts.TokensPerStep {
 		select {
-		case n, more := <-s.tokens:
-			if !more {
+		case n, open := <-s.tokens:
+			if !open {
 				p.last = true
 				return p
 			}
-			p.text += word(s.seed, n)
+			p.text += tokenText(s.seed, n)
 			p.tokens++
 		default:
 			return p
@@ -295,8 +296,8 @@
 	}
 }
 
-// keepAnswer caches the prompt with its answer, which is what the returning chat will begin with.
-func (e *Engine) keepAnswer(req completionRequest, text string) {
+// cacheAnswer caches the prompt together with its answer, because the next request of the chat begins with both.
+func (e *Engine) cacheAnswer(req completionRequest, text string) {
 	content, err := json.Marshal(text)
 	if err != nil {
 		return
@@ -304,35 +305,35 @@
 	all := append(append([]message{}, req.Messages...), message{Role: "assistant", Content: content})
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.publish(e.cache.put(prefixes(all)))
+	e.publish(e.cache.add(promptPrefixes(all)))
 }
 
-func (e *Engine) setPriority(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleSetPriority(w http.ResponseWriter, r *http.Request) {
 	var change struct {
 		Priority int `json:"priority"`
 	}
-	if !wire.Read(w, r, &change) {
+	if !wire.ReadJSON(w, r, &change) {
 		return
 	}
-	e.each(mux.Vars(r)["attempt"], func(s *sequence) { s.priority = change.Priority })
+	e.forAttempt(mux.Vars(r)["attempt"], func(s *sequence) { s.priority = change.Priority })
 }
 
-func (e *Engine) cancel(_ http.ResponseWriter, r *http.Request) {
-	e.each(mux.Vars(r)["attempt"], func(s *sequence) { s.gone = true })
+func (e *Engine) handleCancel(_ http.ResponseWriter, r *http.Request) {
+	e.forAttempt(mux.Vars(r)["attempt"], func(s *sequence) { s.done = true })
 }
 
-func (e *Engine) each(attempt string, do func(*sequence)) {
+func (e *Engine) forAttempt(attempt string, update func(*sequence)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range append(append([]*sequence{}, e.running...), e.waiting...) {
 		if s.attempt == attempt {
-			do(s)
+			update(s)
 		}
 	}
 }
 
-func (e *Engine) serveReport(w http.ResponseWriter, req *http.Request) {
-	if e.hangs() {
+func (e *Engine) handleReport(w http.ResponseWriter, req *http.Request) {
+	if e.isHanging() {
 		<-req.Context().Done()
 		return
 	}
@@ -342,9 +343,9 @@
 		r.Loaded = append(r.Loaded, m)
 	}
 	e.mu.Unlock()
-	wire.Write(w, r)
+	wire.WriteJSON(w, r)
 }
 
-func (e *Engine) serveTruth(w http.ResponseWriter, _ *http.Request) {
-	wire.Write(w, e.Truth())
+func (e *Engine) handleTruth(w http.ResponseWriter, _ *http.Request) {
+	wire.WriteJSON(w, e.Truth())
 }
--- a/io/standin/engine/doc.go
+++ b/io/standin/engine/doc.go
@@ -1,2 +1,2 @@
-// Package engine is a small stand-in for a model engine, with switches for its faults.
+// Package engine is a stand-in for a model engine, with faults that tests can inject.
 package engine
--- a/io/standin/engine/engine.go
+++ b/io/standin/engine/engine.go
@@ -13,7 +13,7 @@
 	"savoryfall/core/report"
 )
 
-// Options shape one engine; a zero field means its default.
+// Options configure an engine; a zero field means its default.
 type Options struct {
 	Name          string
 	Models        []string
@@ -36,37 +36,37 @@
 	defaultReportLag     = 300 * time.Millisecond
 )
 
-// Engine batches continuously over a prefix cache of limited memory.
+// Engine simulates an engine with continuous batching and a prefix cache of limited size.
 type Engine struct {
-	opts        Options
-	incarnation string
-	mu          sync.Mutex
-	faults      Faults
-	cache       *prefixCache
-	events      *eventFeed
-	waiting     []*sequence
-	running     []*sequence
-	loaded      map[string]bool
-	fence       int64
-	orders      int
-	past        []pastReport
-	served      int
-	promptSum   int64
-	cachedSum   int64
-	busy        chan struct{}
+	opts          Options
+	incarnation   string
+	mu            sync.Mutex
+	faults        Faults
+	cache         *prefixCache
+	events        *eventLog
+	waiting       []*sequence
+	running       []*sequence
+	loaded        map[string]bool
+	fence         int64
+	appliedOrders int
+	reportHistory []recordedReport
+	served        int
+	promptTokens  int64
+	cachedTokens  int64
+	busy          chan struct{}
 }
 
-type pastReport struct {
+type recordedReport struct {
 	at time.Time
 	r  report.Report
 }
 
-// New makes an engine with an incarnation of its own and an empty cache.
+// New returns an engine with a new incarnation and an empty cache.
 func New(o Options) *Engine {
 	o = withDefaults(o)
 	e := &Engine{opts: o, incarnation: uuid.NewString()[:8], loaded: map[string]bool{}, busy: make(chan struct{}, 1)}
 	e.cache = newPrefixCache(o.CacheTokens)
-	e.events = &eventFeed{}
+	e.events = &eventLog{}
 	for _, m := range o.Models {
 		e.loaded[m] = true
 	}
@@ -95,28 +95,28 @@
 	return o
 }
 
-// Handler serves the engine's protocol of docs/PLATFORM.md, and PUT /faults.
+// Handler serves the engine protocol of docs/PLATFORM.md, and PUT /faults and GET /truth for tests.
 func (e *Engine) Handler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc("/v1/chat/completions", e.complete).Methods(http.MethodPost)
-	m.HandleFunc("/savoryfall/report", e.serveReport).Methods(http.MethodGet)
-	m.HandleFunc("/savoryfall/attempts/{attempt}", e.setPriority).Methods(http.MethodPut)
-	m.HandleFunc("/savoryfall/attempts/{attempt}", e.cancel).Methods(http.MethodDelete)
-	m.HandleFunc("/savoryfall/kv/{prefix}", e.exportKV).Methods(http.MethodGet)
-	m.HandleFunc("/savoryfall/kv/{prefix}", e.importKV).Methods(http.MethodPut)
-	m.HandleFunc("/savoryfall/events", e.serveEvents).Methods(http.MethodGet)
-	m.HandleFunc("/savoryfall/orders", e.order).Methods(http.MethodPut)
-	m.HandleFunc("/faults", e.setFaults).Methods(http.MethodPut)
-	m.HandleFunc("/truth", e.serveTruth).Methods(http.MethodGet)
+	m.HandleFunc("/v1/chat/completions", e.handleCompletion).Methods(http.MethodPost)
+	m.HandleFunc("/savoryfall/report", e.handleReport).Methods(http.MethodGet)
+	m.HandleFunc("/savoryfall/attempts/{attempt}", e.handleSetPriority).Methods(http.MethodPut)
+	m.HandleFunc("/savoryfall/attempts/{attempt}", e.handleCancel).Methods(http.MethodDelete)
+	m.HandleFunc("/savoryfall/kv/{prefix}", e.handleExportKV).Methods(http.MethodGet)
+	m.HandleFunc("/savoryfall/kv/{prefix}", e.handleImportKV).Methods(http.MethodPut)
+	m.HandleFunc("/savoryfall/events", e.handleEvents).Methods(http.MethodGet)
+	m.HandleFunc("/savoryfall/orders", e.handleOrder).Methods(http.MethodPut)
+	m.HandleFunc("/faults", e.handleSetFaults).Methods(http.MethodPut)
+	m.HandleFunc("/truth", e.handleTruth).Methods(http.MethodGet)
 	return m
 }
 
-// Run advances the batch until the context ends.
+// Run advances the batch once per step until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	background.Every(ctx, e.opts.Step, e.step)
 }
 
-// Truth is what an all-knowing observer sees; routers have no access to it.
+// Truth is the engine's actual state without the lag of its reports; only tests and load runs read it, never routers.
 type Truth struct {
 	Name         string `json:"name"`
 	Incarnation  string `json:"incarnation"`
@@ -127,20 +127,20 @@
 	CachedTokens int64  `json:"cachedTokens"`
 }
 
-// Truth is the engine's state as it is now, with the tokens that it still has to make.
+// Truth returns the current state, including the number of tokens that still have to be processed or generated.
 func (e *Engine) Truth() (t Truth) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t = Truth{
 		Name: e.opts.Name, Incarnation: e.incarnation, Served: e.served,
-		PromptTokens: e.promptSum, CachedTokens: e.cachedSum,
+		PromptTokens: e.promptTokens, CachedTokens: e.cachedTokens,
 	}
 	for _, s := range append(append([]*sequence{}, e.running...), e.waiting...) {
 		t.Requests++
-		t.Outstanding += int64(s.prefill + s.want - s.made)
+		t.Outstanding += int64(s.prefillLeft + s.length - s.generated)
 	}
 	return t
 }
 
-// Incarnation is new with each start of the engine.
+// Incarnation identifies this start of the engine.
 func (e *Engine) Incarnation() string { return e.incarnation }
--- a/io/standin/engine/events.go
+++ b/io/standin/engine/events.go
@@ -13,10 +13,10 @@
 	eventStored  = "stored"
 	eventRemoved = "removed"
 
-	rememberedEvents = 4096
+	maxEvents = 4096
 )
 
-// Event is one change of the prefix cache, published late and with gaps.
+// Event is a change of the prefix cache. Events are published with a delay, and some are lost if EventGap is set.
 type Event struct {
 	Sequence int64     `json:"sequence"`
 	Kind     string    `json:"kind"`
@@ -24,7 +24,7 @@
 	At       time.Time `json:"at"`
 }
 
-type eventFeed struct {
+type eventLog struct {
 	next   int64
 	events []Event
 }
@@ -39,12 +39,12 @@
 		}
 		e.events.events = append(e.events.events, ev)
 	}
-	if n := len(e.events.events); n > rememberedEvents {
-		e.events.events = e.events.events[n-rememberedEvents:]
+	if n := len(e.events.events); n > maxEvents {
+		e.events.events = e.events.events[n-maxEvents:]
 	}
 }
 
-func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	visible := time.Now().Add(-e.opts.ReportLag)
 	events := []Event{}
@@ -55,5 +55,5 @@
 		}
 	}
 	e.mu.Unlock()
-	wire.Write(w, map[string]any{"incarnation": e.incarnation, "events": events})
+	wire.WriteJSON(w, map[string]any{"incarnation": e.incarnation, "events": events})
 }
--- a/io/standin/engine/faults.go
+++ b/io/standin/engine/faults.go
@@ -6,7 +6,8 @@
 	"savoryfall/io/standin/wire"
 )
 
-// Faults are the switches; the zero value has none on. Counted ones hit that many requests and are then off.
+// Faults are the faults to inject; the zero value injects none. Fields that end in Next count down: each affects that
+// many requests. DieNext and TruncateNext take effect after DieAfterTokens tokens.
 type Faults struct {
 	Frozen         bool    `json:"frozen"`
 	Hang           bool    `json:"hang"`
@@ -22,43 +23,43 @@
 	DropNext       int     `json:"dropNext"`
 }
 
-// Set replaces the switches.
+// Set replaces the injected faults.
 func (e *Engine) Set(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-func (e *Engine) setFaults(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.Read(w, r, &f) {
+	if !wire.ReadJSON(w, r, &f) {
 		return
 	}
 	e.Set(f)
 }
 
-// hit is what the switches do to one request.
-type hit struct {
-	refuse, cross, die, truncate, fail, drop bool
-	lateMs, dieAfter                         int
+// requestFaults are the faults that affect one request.
+type requestFaults struct {
+	refuse, wrongAttempt, abort, truncate, fail, drop bool
+	delayMs, stopAfterTokens                          int
 }
 
-func (e *Engine) takeFaults() (h hit) {
+func (e *Engine) nextRequestFaults() (active requestFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f := &e.faults
-	h.refuse = f.Refuse || f.Leaving
-	h.lateMs = f.LateMs
-	h.dieAfter = f.DieAfterTokens
-	h.cross = take(&f.CrossNext)
-	h.die = take(&f.DieNext)
-	h.truncate = take(&f.TruncateNext)
-	h.fail = take(&f.FailNext)
-	h.drop = take(&f.DropNext)
-	return h
+	active.refuse = f.Refuse || f.Leaving
+	active.delayMs = f.LateMs
+	active.stopAfterTokens = f.DieAfterTokens
+	active.wrongAttempt = decrement(&f.CrossNext)
+	active.abort = decrement(&f.DieNext)
+	active.truncate = decrement(&f.TruncateNext)
+	active.fail = decrement(&f.FailNext)
+	active.drop = decrement(&f.DropNext)
+	return active
 }
 
-func take(n *int) bool {
+func decrement(n *int) bool {
 	if *n == 0 {
 		return false
 	}
@@ -66,8 +67,8 @@
 	return true
 }
 
-// hangs tells whether the engine takes connections and then says nothing, as a stopped process does.
-func (e *Engine) hangs() bool {
+// isHanging returns whether the engine accepts connections but never answers, as a stopped process does.
+func (e *Engine) isHanging() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.Hang
--- a/io/standin/engine/orders.go
+++ b/io/standin/engine/orders.go
@@ -14,46 +14,47 @@
 	"savoryfall/io/standin/wire"
 )
 
-// Order says what the engine shall hold; it states the wanted whole, so that a late twin changes nothing lasting.
+// Order tells the engine which models to load. It is a complete desired state rather than a change, so that a delayed
+// duplicate has no lasting effect.
 type Order struct {
 	Fence  int64    `json:"fence"`
 	Loaded []string `json:"loaded"`
 }
 
-const maxKV = 64 << 20
+const maxKVBytes = 64 << 20
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
-	if !wire.Read(w, r, &o) {
+	if !wire.ReadJSON(w, r, &o) {
 		return
 	}
-	if e.stale(o) {
+	if e.isStale(o) {
 		w.Header().Set(header.Outcome, string(outcome.NotRun))
 		http.Error(w, "old fencing number", http.StatusPreconditionFailed)
 		return
 	}
 	for _, m := range o.Loaded {
-		if !e.has(m) && !e.fetch(r, m) {
+		if !e.isLoaded(m) && !e.fetchWeights(r, m) {
 			http.Error(w, "the weight store refused", http.StatusServiceUnavailable)
 			return
 		}
 	}
-	e.obey(o)
+	e.apply(o)
 }
 
-func (e *Engine) stale(o Order) bool {
+func (e *Engine) isStale(o Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.opts.ChecksFence && o.Fence < e.fence
 }
 
-func (e *Engine) has(m string) bool {
+func (e *Engine) isLoaded(m string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.loaded[m]
 }
 
-func (e *Engine) fetch(r *http.Request, m string) bool {
+func (e *Engine) fetchWeights(r *http.Request, m string) bool {
 	if e.opts.WeightStore == "" {
 		return true
 	}
@@ -70,37 +71,38 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (e *Engine) obey(o Order) {
+func (e *Engine) apply(o Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fence = max(e.fence, o.Fence)
-	e.orders++
+	e.appliedOrders++
 	e.loaded = map[string]bool{}
 	for _, m := range o.Loaded {
 		e.loaded[m] = true
 	}
 }
 
-// Orders is how many orders were obeyed, and what is loaded now.
-func (e *Engine) Orders() (obeyed int, loaded []string) {
+// Orders returns the number of orders that were applied, and the models that are loaded.
+func (e *Engine) Orders() (applied int, loaded []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for m := range e.loaded {
 		loaded = append(loaded, m)
 	}
 	slices.Sort(loaded)
-	return e.orders, loaded
+	return e.appliedOrders, loaded
 }
 
-// exportKV sends bytes in proportion to the tokens; the stand-in has no real values to send.
-func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
+// handleExportKV sends as many bytes as the prefix has tokens after the header; the stand-in has no real KV cache
+// contents.
+func (e *Engine) handleExportKV(w http.ResponseWriter, r *http.Request) {
 	h, err := strconv.ParseUint(mux.Vars(r)["prefix"], 16, 64)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	el, ok := e.cache.by[h]
+	el, ok := e.cache.byHash[h]
 	tokens := 0
 	if ok {
 		tokens = el.Value.(prefix).tokens
@@ -110,26 +112,26 @@
 		http.Error(w, "prefix not cached", http.StatusNotFound)
 		return
 	}
-	body := make([]byte, kvHead+tokens)
+	body := make([]byte, kvHeaderBytes+tokens)
 	binary.BigEndian.PutUint64(body, uint64(tokens))
 	_, _ = w.Write(body)
 }
 
-const kvHead = 8
+const kvHeaderBytes = 8
 
-func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleImportKV(w http.ResponseWriter, r *http.Request) {
 	h, err := strconv.ParseUint(mux.Vars(r)["prefix"], 16, 64)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKV))
-	if err != nil || len(body) < kvHead {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKVBytes))
+	if err != nil || len(body) < kvHeaderBytes {
 		http.Error(w, "not a KV export", http.StatusBadRequest)
 		return
 	}
 	tokens := int(binary.BigEndian.Uint64(body))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.publish(e.cache.put([]prefix{{hash: h, tokens: tokens}}))
+	e.publish(e.cache.add([]prefix{{hash: h, tokens: tokens}}))
 }
--- a/io/standin/engine/shadow.go
+++ b/io/standin/engine/shadow.go
@@ -6,50 +6,50 @@
 	"sync"
 )
 
-// Shadow is one cache as large as those of all engines together: what a router that knows everything, and places each
-// prompt where its prefix is, would find.
+// Shadow is a reference cache with the capacity of all engines together. It shows how many tokens would be found by a
+// router that knows every cache and always chooses the endpoint that holds the prefix.
 type Shadow struct {
 	mu    sync.Mutex
 	cache *prefixCache
 }
 
-// NewShadow makes a shadow of so many tokens.
+// NewShadow returns an empty reference cache with a capacity in tokens.
 func NewShadow(tokens int) *Shadow { return &Shadow{cache: newPrefixCache(tokens)} }
 
-// Ask returns the tokens of a prompt, and how many of them are found.
+// Ask returns the number of tokens in the prompt and how many of them were cached, and then caches the prompt.
 func (s *Shadow) Ask(messages []byte) (prompt, found int) {
-	var list []message
-	if json.Unmarshal(messages, &list) != nil {
+	var parsed []message
+	if json.Unmarshal(messages, &parsed) != nil {
 		return 0, 0
 	}
-	cut := prefixes(list)
+	prefixes := promptPrefixes(parsed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found = s.cache.hit(cut)
-	s.cache.put(cut)
-	return totalTokens(cut), found
+	found = s.cache.lookUp(prefixes)
+	s.cache.add(prefixes)
+	return totalTokens(prefixes), found
 }
 
-// Keep takes a prompt with its answer.
+// Keep caches a prompt together with its answer.
 func (s *Shadow) Keep(messages []byte) {
-	var list []message
-	if json.Unmarshal(messages, &list) != nil {
+	var parsed []message
+	if json.Unmarshal(messages, &parsed) != nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cache.put(prefixes(list))
+	s.cache.add(promptPrefixes(parsed))
 }
 
-// Lose forgets a share of the prefixes, as the loss of one of several engines does.
+// Lose evicts each prefix with the given probability, to simulate the loss of some of the engines.
 func (s *Shadow) Lose(share float64, random *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for e := s.cache.order.Front(); e != nil; {
+	for e := s.cache.recency.Front(); e != nil; {
 		next := e.Next()
 		if random.Float64() < share {
-			p := s.cache.order.Remove(e).(prefix)
-			delete(s.cache.by, p.hash)
+			p := s.cache.recency.Remove(e).(prefix)
+			delete(s.cache.byHash, p.hash)
 			s.cache.used -= p.tokens
 		}
 		e = next
--- a/io/standin/logservice/doc.go
+++ b/io/standin/logservice/doc.go
@@ -1,3 +1,2 @@
-// Package logservice is a small stand-in for the platform's log service, with switches for its
-// faults.
+// Package logservice is an in-memory stand-in for the platform's log service, with faults that tests can inject.
 package logservice
--- a/io/standin/logservice/service.go
+++ b/io/standin/logservice/service.go
@@ -18,12 +18,14 @@
 )
 
 const (
-	maxRecord         = 4 << 20
+	maxRecordBytes    = 4 << 20
 	defaultAppendRate = 400
 	defaultRetention  = 24 * time.Hour
 )
 
-// Faults are the switches; the zero value has none on. They are read and set at /faults while it runs.
+// Faults are the faults to inject; the zero value injects none. PUT /faults replaces them while the service runs.
+// SlowMs delays only the VMs in SlowReaders if there are any, and LoseAnswers is the number of appends that are stored
+// but whose answers are dropped.
 type Faults struct {
 	Down        bool     `json:"down"`
 	SlowMs      int      `json:"slowMs"`
@@ -31,23 +33,24 @@
 	LoseAnswers int      `json:"loseAnswers"`
 }
 
-// Service keeps streams in memory.
+// Service keeps the streams in memory.
 type Service struct {
 	mu        sync.Mutex
 	streams   map[string]*stream
 	faults    Faults
-	limit     *rate.Limiter
+	limiter   *rate.Limiter
 	retention time.Duration
-	appends   int
+	appended  int
 }
 
 type stream struct {
-	first   int64
-	records []platformlog.Record
-	changed chan struct{}
+	firstOffset int64
+	records     []platformlog.Record
+	changed     chan struct{}
 }
 
-// New makes a service that takes so many appends a second and keeps records so long; zero means the default.
+// New returns a service with a limit of appends per second that deletes records older than the retention; zero means
+// the default.
 func New(appendsPerSecond float64, retention time.Duration) *Service {
 	if appendsPerSecond == 0 {
 		appendsPerSecond = defaultAppendRate
@@ -57,45 +60,45 @@
 	}
 	return &Service{
 		streams:   map[string]*stream{},
-		limit:     rate.NewLimiter(rate.Limit(appendsPerSecond), int(appendsPerSecond)),
+		limiter:   rate.NewLimiter(rate.Limit(appendsPerSecond), int(appendsPerSecond)),
 		retention: retention,
 	}
 }
 
-// Handler serves the protocol of docs/PLATFORM.md.
+// Handler serves the log protocol of docs/PLATFORM.md, and PUT /faults for tests.
 func (s *Service) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/v1/streams/{stream}/records", s.append).Methods(http.MethodPost)
-	m.HandleFunc("/v1/streams/{stream}/records", s.read).Methods(http.MethodGet)
-	m.HandleFunc("/v1/streams/{stream}/trim", s.trim).Methods(http.MethodPost)
-	m.HandleFunc("/faults", s.setFaults).Methods(http.MethodPut)
+	m.HandleFunc("/v1/streams/{stream}/records", s.handleRead).Methods(http.MethodGet)
+	m.HandleFunc("/v1/streams/{stream}/trim", s.handleTrim).Methods(http.MethodPost)
+	m.HandleFunc("/faults", s.handleSetFaults).Methods(http.MethodPut)
 	return m
 }
 
-// Set replaces the switches.
+// Set replaces the injected faults.
 func (s *Service) Set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Appends is how many records were taken.
+// Appends returns how many records have been appended.
 func (s *Service) Appends() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.appends
+	return s.appended
 }
 
-func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.Read(w, r, &f) {
+	if !wire.ReadJSON(w, r, &f) {
 		return
 	}
 	s.Set(f)
 }
 
-// admit applies the switches that hit every call, and tells whether the call goes on.
-func (s *Service) admit(w http.ResponseWriter, r *http.Request) bool {
+// applyFaults applies the faults that affect every call, and returns whether to process the call.
+func (s *Service) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
@@ -115,34 +118,34 @@
 }
 
 func (s *Service) append(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r) {
+	if !s.applyFaults(w, r) {
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecord))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecordBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	if !s.limit.Allow() {
+	if !s.limiter.Allow() {
 		http.Error(w, "too many appends", http.StatusTooManyRequests)
 		return
 	}
-	offset, lose := s.add(mux.Vars(r)["stream"], data)
-	if lose {
+	offset, dropAnswer := s.appendRecord(mux.Vars(r)["stream"], data)
+	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	wire.Write(w, map[string]int64{"offset": offset})
+	wire.WriteJSON(w, map[string]int64{"offset": offset})
 }
 
-func (s *Service) add(name string, data []byte) (offset int64, lose bool) {
+func (s *Service) appendRecord(name string, data []byte) (offset int64, dropAnswer bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
-	offset = st.first + int64(len(st.records))
+	offset = st.firstOffset + int64(len(st.records))
 	st.records = append(st.records, platformlog.Record{Offset: offset, At: time.Now(), Data: data})
 	close(st.changed)
 	st.changed = make(chan struct{})
-	s.appends++
+	s.appended++
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
 		return offset, true
@@ -156,25 +159,25 @@
 		st = &stream{changed: make(chan struct{})}
 		s.streams[name] = st
 	}
-	st.expire(time.Now().Add(-s.retention))
+	st.dropBefore(time.Now().Add(-s.retention))
 	return st
 }
 
-func (st *stream) expire(before time.Time) {
+func (st *stream) dropBefore(before time.Time) {
 	n := 0
 	for n < len(st.records) && st.records[n].At.Before(before) {
 		n++
 	}
-	st.drop(n)
+	st.dropFirst(n)
 }
 
-func (st *stream) drop(n int) {
+func (st *stream) dropFirst(n int) {
 	st.records = st.records[n:]
-	st.first += int64(n)
+	st.firstOffset += int64(n)
 }
 
-func (s *Service) read(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r) {
+func (s *Service) handleRead(w http.ResponseWriter, r *http.Request) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	from, _ := strconv.ParseInt(r.FormValue("from"), 10, 64)
@@ -187,7 +190,7 @@
 	for {
 		page, changed := s.page(mux.Vars(r)["stream"], from, limit)
 		if len(page.Records) > 0 || waitMs == 0 || from < page.First {
-			wire.Write(w, page)
+			wire.WriteJSON(w, page)
 			return
 		}
 		select {
@@ -204,17 +207,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
-	p = platformlog.Page{First: st.first, Next: st.first + int64(len(st.records))}
-	at := from - st.first
-	if at >= 0 && at < int64(len(st.records)) {
-		end := min(at+int64(limit), int64(len(st.records)))
-		p.Records = st.records[at:end:end]
+	p = platformlog.Page{First: st.firstOffset, Next: st.firstOffset + int64(len(st.records))}
+	start := from - st.firstOffset
+	if start >= 0 && start < int64(len(st.records)) {
+		end := min(start+int64(limit), int64(len(st.records)))
+		p.Records = st.records[start:end:end]
 	}
 	return p, st.changed
 }
 
-// trim forgets the records before an offset, as an early end of the retention would.
-func (s *Service) trim(w http.ResponseWriter, r *http.Request) {
+// handleTrim deletes the records before an offset, as if their retention had ended early.
+func (s *Service) handleTrim(w http.ResponseWriter, r *http.Request) {
 	before, err := strconv.ParseInt(r.FormValue("before"), 10, 64)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -223,31 +226,31 @@
 	s.Trim(mux.Vars(r)["stream"], before)
 }
 
-// Trim forgets the records of the stream before the offset.
+// Trim deletes the records of the stream before the offset.
 func (s *Service) Trim(name string, before int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
-	st.drop(int(min(max(before-st.first, 0), int64(len(st.records)))))
+	st.dropFirst(int(min(max(before-st.firstOffset, 0), int64(len(st.records)))))
 }
 
-// Append adds a record from within the process, past all switches.
+// Append appends a record from within the process, without the rate limit and without delays.
 func (s *Service) Append(name string, data []byte) (offset int64) {
-	offset, _ = s.add(name, data)
+	offset, _ = s.appendRecord(name, data)
 	return offset
 }
 
-// Records are the data of the records that a stream keeps, read past all switches.
+// Records returns the data of the records in a stream, unaffected by faults.
 func (s *Service) Records(name string) (records [][]byte) {
-	page, _ := s.page(name, s.first(name), math.MaxInt32)
+	page, _ := s.page(name, s.firstOffset(name), math.MaxInt32)
 	for _, r := range page.Records {
 		records = append(records, r.Data)
 	}
 	return records
 }
 
-func (s *Service) first(name string) int64 {
+func (s *Service) firstOffset(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stream(name).first
+	return s.stream(name).firstOffset
 }
--- a/io/standin/plainservice/doc.go
+++ b/io/standin/plainservice/doc.go
@@ -1,2 +1,3 @@
-// Package plainservice is a small stand-in for a plain service that counts what it ran, by key.
+// Package plainservice is a stand-in for a plain service that counts how often it ran each idempotency key, with faults
+// that tests can inject.
 package plainservice
--- a/io/standin/plainservice/service.go
+++ b/io/standin/plainservice/service.go
@@ -15,7 +15,8 @@
 	"savoryfall/io/standin/wire"
 )
 
-// Faults are the switches; counted ones hit that many calls and are then off.
+// Faults are the faults to inject; the zero value injects none. DropBefore, DropAfter, ShortAnswer, CrossNext and
+// DropMiddle count down: each affects that many calls.
 type Faults struct {
 	Refuse      bool `json:"refuse"`
 	Leaving     bool `json:"leaving"`
@@ -27,65 +28,65 @@
 	DropMiddle  int  `json:"dropMiddle"`
 }
 
-// Service runs a call by counting its key, and answers with what it got.
+// Service counts each call under its idempotency key and echoes the request.
 type Service struct {
 	mu          sync.Mutex
 	name        string
 	incarnation string
 	faults      Faults
-	ran         map[string]int
+	runs        map[string]int
 	active      int
 }
 
-// New makes a service process of that name.
+// New returns a service with the given name and a new incarnation.
 func New(name string) *Service {
-	return &Service{name: name, incarnation: fmt.Sprintf("%x", time.Now().UnixNano()), ran: map[string]int{}}
+	return &Service{name: name, incarnation: fmt.Sprintf("%x", time.Now().UnixNano()), runs: map[string]int{}}
 }
 
 // Handler serves any path, and GET /ran and PUT /faults for tests.
 func (s *Service) Handler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc("/ran", s.serveRan).Methods(http.MethodGet)
-	m.HandleFunc("/faults", s.setFaults).Methods(http.MethodPut)
-	m.HandleFunc("/savoryfall/report", s.serveReport).Methods(http.MethodGet)
-	m.PathPrefix("/").HandlerFunc(s.call)
+	m.HandleFunc("/ran", s.handleRan).Methods(http.MethodGet)
+	m.HandleFunc("/faults", s.handleSetFaults).Methods(http.MethodPut)
+	m.HandleFunc("/savoryfall/report", s.handleReport).Methods(http.MethodGet)
+	m.PathPrefix("/").HandlerFunc(s.handleCall)
 	return m
 }
 
-// Ran is how often each key ran; a call without a key counts under the empty one.
+// Ran returns how often each idempotency key ran; calls without a key count under the empty key.
 func (s *Service) Ran() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.ran)
+	return maps.Clone(s.runs)
 }
 
-// Set replaces the switches.
+// Set replaces the injected faults.
 func (s *Service) Set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-type hit struct {
-	refuse, dropBefore, dropAfter, dropMiddle, short, cross bool
-	late                                                    time.Duration
+type callFaults struct {
+	refuse, dropBefore, dropAfter, dropMiddle, shortAnswer, wrongAttempt bool
+	delay                                                                time.Duration
 }
 
-func (s *Service) takeFaults() (h hit) {
+func (s *Service) nextCallFaults() (active callFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := &s.faults
-	h.refuse = f.Refuse || f.Leaving
-	h.late = time.Duration(f.LateMs) * time.Millisecond
-	h.dropBefore = take(&f.DropBefore)
-	h.dropAfter = take(&f.DropAfter)
-	h.short = take(&f.ShortAnswer)
-	h.cross = take(&f.CrossNext)
-	h.dropMiddle = take(&f.DropMiddle)
-	return h
+	active.refuse = f.Refuse || f.Leaving
+	active.delay = time.Duration(f.LateMs) * time.Millisecond
+	active.dropBefore = decrement(&f.DropBefore)
+	active.dropAfter = decrement(&f.DropAfter)
+	active.shortAnswer = decrement(&f.ShortAnswer)
+	active.wrongAttempt = decrement(&f.CrossNext)
+	active.dropMiddle = decrement(&f.DropMiddle)
+	return active
 }
 
-func take(n *int) bool {
+func decrement(n *int) bool {
 	if *n == 0 {
 		return false
 	}
@@ -93,15 +94,15 @@
 	return true
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	h := s.takeFaults()
-	s.enter(1)
-	defer s.enter(-1)
-	if h.dropBefore {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
+	faults := s.nextCallFaults()
+	s.addActive(1)
+	defer s.addActive(-1)
+	if faults.dropBefore {
 		panic(http.ErrAbortHandler)
 	}
-	s.echo(w, r, h)
-	if h.refuse {
+	s.echoHeaders(w, r, faults)
+	if faults.refuse {
 		w.Header().Set(header.Outcome, string(outcome.NotRun))
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
@@ -110,59 +111,59 @@
 	if err != nil {
 		return
 	}
-	s.count(r.Header.Get(header.Idempotency))
-	time.Sleep(h.late)
-	if h.dropAfter {
+	s.countRun(r.Header.Get(header.Idempotency))
+	time.Sleep(faults.delay)
+	if faults.dropAfter {
 		panic(http.ErrAbortHandler)
 	}
-	s.answer(w, r, body, h)
+	s.writeAnswer(w, r, body, faults)
 }
 
-func (s *Service) echo(w http.ResponseWriter, r *http.Request, h hit) {
+func (s *Service) echoHeaders(w http.ResponseWriter, r *http.Request, faults callFaults) {
 	w.Header().Set(header.Request, r.Header.Get(header.Request))
 	w.Header().Set(header.Attempt, r.Header.Get(header.Attempt))
-	if h.cross {
+	if faults.wrongAttempt {
 		w.Header().Set(header.Attempt, "somebody-else")
 	}
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, body []byte, h hit) {
+func (s *Service) writeAnswer(w http.ResponseWriter, r *http.Request, body []byte, faults callFaults) {
 	text := fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, body)
-	if h.short {
+	if faults.shortAnswer {
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)+1))
 	}
 	_, _ = io.WriteString(w, text)
-	if h.dropMiddle {
+	if faults.dropMiddle {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (s *Service) enter(n int) {
+func (s *Service) addActive(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active += n
 }
 
-func (s *Service) count(key string) {
+func (s *Service) countRun(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran[key]++
+	s.runs[key]++
 }
 
-func (s *Service) serveRan(w http.ResponseWriter, _ *http.Request) {
-	wire.Write(w, s.Ran())
+func (s *Service) handleRan(w http.ResponseWriter, _ *http.Request) {
+	wire.WriteJSON(w, s.Ran())
 }
 
-func (s *Service) serveReport(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wire.Write(w, map[string]any{"incarnation": s.incarnation, "running": s.active, "leaving": s.faults.Leaving})
+	wire.WriteJSON(w, map[string]any{"incarnation": s.incarnation, "running": s.active, "leaving": s.faults.Leaving})
 }
 
-func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.Read(w, r, &f) {
+	if !wire.ReadJSON(w, r, &f) {
 		return
 	}
 	s.Set(f)
--- a/io/standin/vmservice/doc.go
+++ b/io/standin/vmservice/doc.go
@@ -1,2 +1,2 @@
-// Package vmservice is a small stand-in for the platform's lagging list of VMs.
+// Package vmservice is a stand-in for the platform's list of VMs, which may lag behind.
 package vmservice
--- a/io/standin/vmservice/service.go
+++ b/io/standin/vmservice/service.go
@@ -14,37 +14,37 @@
 	"savoryfall/io/vmlist"
 )
 
-// Faults are the switches; readers see the list as it was LagMs ago.
+// Faults are the faults to inject: readers get an error if Down is set, and otherwise the list as it was LagMs ago.
 type Faults struct {
 	Down  bool `json:"down"`
 	LagMs int  `json:"lagMs"`
 }
 
-// Service keeps the list and its past, so that it can lag.
+// Service keeps the list and its history, so that readers can be given an older version.
 type Service struct {
 	mu      sync.Mutex
-	past    []state
+	history []listVersion
 	faults  Faults
 	version int
 }
 
-type state struct {
+type listVersion struct {
 	since   time.Time
 	version int
 	vms     map[string]vmlist.VM
 }
 
-// Handler serves the protocol of docs/PLATFORM.md, and PUT and DELETE for whoever plays the platform.
+// Handler serves the VM list protocol of docs/PLATFORM.md, PUT and DELETE of a VM to change the list, and PUT /faults.
 func (s *Service) Handler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc("/v1/vms", s.list).Methods(http.MethodGet)
-	m.HandleFunc("/v1/vms/{name}", s.put).Methods(http.MethodPut)
-	m.HandleFunc("/v1/vms/{name}", s.remove).Methods(http.MethodDelete)
-	m.HandleFunc("/faults", s.setFaults).Methods(http.MethodPut)
+	m.HandleFunc("/v1/vms", s.handleList).Methods(http.MethodGet)
+	m.HandleFunc("/v1/vms/{name}", s.handlePut).Methods(http.MethodPut)
+	m.HandleFunc("/v1/vms/{name}", s.handleRemove).Methods(http.MethodDelete)
+	m.HandleFunc("/faults", s.handleSetFaults).Methods(http.MethodPut)
 	return m
 }
 
-// Set replaces the switches.
+// Set replaces the injected faults.
 func (s *Service) Set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,83 +53,83 @@
 
 // Put adds or replaces a VM.
 func (s *Service) Put(vm vmlist.VM) {
-	s.change(func(vms map[string]vmlist.VM) { vms[vm.Name] = vm })
+	s.update(func(vms map[string]vmlist.VM) { vms[vm.Name] = vm })
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (s *Service) Remove(name string) {
-	s.change(func(vms map[string]vmlist.VM) { delete(vms, name) })
+	s.update(func(vms map[string]vmlist.VM) { delete(vms, name) })
 }
 
-func (s *Service) change(edit func(map[string]vmlist.VM)) {
+func (s *Service) update(edit func(map[string]vmlist.VM)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	vms := map[string]vmlist.VM{}
-	if n := len(s.past); n > 0 {
-		vms = maps.Clone(s.past[n-1].vms)
+	if n := len(s.history); n > 0 {
+		vms = maps.Clone(s.history[n-1].vms)
 	}
 	edit(vms)
 	s.version++
-	s.past = append(s.past, state{since: time.Now(), version: s.version, vms: vms})
-	s.forget()
+	s.history = append(s.history, listVersion{since: time.Now(), version: s.version, vms: vms})
+	s.trimHistory()
 }
 
-const rememberedStates = 256
+const maxHistory = 256
 
-func (s *Service) forget() {
-	if len(s.past) > rememberedStates {
-		s.past = s.past[len(s.past)-rememberedStates:]
+func (s *Service) trimHistory() {
+	if len(s.history) > maxHistory {
+		s.history = s.history[len(s.history)-maxHistory:]
 	}
 }
 
-func (s *Service) seen() (st state, f Faults) {
+func (s *Service) visibleVersion() (v listVersion, f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := time.Now().Add(-time.Duration(s.faults.LagMs) * time.Millisecond)
-	for _, p := range s.past {
+	for _, p := range s.history {
 		if p.since.After(at) {
 			break
 		}
-		st = p
+		v = p
 	}
-	return st, s.faults
+	return v, s.faults
 }
 
-func (s *Service) list(w http.ResponseWriter, r *http.Request) {
-	st, f := s.seen()
+func (s *Service) handleList(w http.ResponseWriter, r *http.Request) {
+	v, f := s.visibleVersion()
 	if f.Down {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	tag := fmt.Sprintf("%q", fmt.Sprint(st.version))
+	tag := fmt.Sprintf("%q", fmt.Sprint(v.version))
 	w.Header().Set("Etag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	vms := make([]vmlist.VM, 0, len(st.vms))
-	for _, name := range slices.Sorted(maps.Keys(st.vms)) {
-		vms = append(vms, st.vms[name])
+	vms := make([]vmlist.VM, 0, len(v.vms))
+	for _, name := range slices.Sorted(maps.Keys(v.vms)) {
+		vms = append(vms, v.vms[name])
 	}
-	wire.Write(w, vms)
+	wire.WriteJSON(w, vms)
 }
 
-func (s *Service) put(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handlePut(w http.ResponseWriter, r *http.Request) {
 	var vm vmlist.VM
-	if !wire.Read(w, r, &vm) {
+	if !wire.ReadJSON(w, r, &vm) {
 		return
 	}
 	vm.Name = mux.Vars(r)["name"]
 	s.Put(vm)
 }
 
-func (s *Service) remove(_ http.ResponseWriter, r *http.Request) {
+func (s *Service) handleRemove(_ http.ResponseWriter, r *http.Request) {
 	s.Remove(mux.Vars(r)["name"])
 }
 
-func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.Read(w, r, &f) {
+	if !wire.ReadJSON(w, r, &f) {
 		return
 	}
 	s.Set(f)
--- a/io/standin/weightservice/doc.go
+++ b/io/standin/weightservice/doc.go
@@ -1,2 +1,2 @@
-// Package weightservice is a small stand-in for the platform's rate-limited weight store.
+// Package weightservice is a stand-in for the platform's rate-limited weight store.
 package weightservice
--- a/io/standin/weightservice/service.go
+++ b/io/standin/weightservice/service.go
@@ -8,27 +8,27 @@
 	"golang.org/x/time/rate"
 )
 
-// Service hands out weights of a fixed size, so many at once and a second.
+// Service serves weights of a fixed size at a limited rate.
 type Service struct {
 	mu      sync.Mutex
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	served  int
 	refused int
 }
 
-// New makes a store that serves so many fetches a second, and bursts of burst.
+// New returns a store that serves up to perSecond fetches per second, with bursts of up to burst fetches.
 func New(perSecond float64, burst int) *Service {
-	return &Service{limit: rate.NewLimiter(rate.Limit(perSecond), burst)}
+	return &Service{limiter: rate.NewLimiter(rate.Limit(perSecond), burst)}
 }
 
-// Handler serves the protocol of docs/PLATFORM.md.
+// Handler serves the weight protocol of docs/PLATFORM.md.
 func (s *Service) Handler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc("/v1/weights/{name}", s.fetch).Methods(http.MethodGet)
+	m.HandleFunc("/v1/weights/{name}", s.handleFetch).Methods(http.MethodGet)
 	return m
 }
 
-// Counts are how many fetches were served and how many refused.
+// Counts returns how many fetches were served and how many were refused.
 func (s *Service) Counts() (served, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,9 +37,9 @@
 
 const weightBytes = 1 << 10
 
-func (s *Service) fetch(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleFetch(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	allowed := s.limit.Allow()
+	allowed := s.limiter.Allow()
 	if allowed {
 		s.served++
 	} else {
--- a/io/standin/wire/doc.go
+++ b/io/standin/wire/doc.go
@@ -1,2 +1,2 @@
-// Package wire reads and writes the JSON of the stand-ins.
+// Package wire reads and writes the JSON bodies of the stand-in services.
 package wire
--- a/io/standin/wire/wire.go
+++ b/io/standin/wire/wire.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Read takes the body of a request, or answers that it is malformed and returns false.
-func Read(w http.ResponseWriter, r *http.Request, v any) bool {
+// ReadJSON decodes the request body into v. If the body is malformed, it answers with status 400 and returns false.
+func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	err := json.NewDecoder(r.Body).Decode(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -14,8 +14,8 @@
 	return err == nil
 }
 
-// Write answers with JSON.
-func Write(w http.ResponseWriter, v any) {
+// WriteJSON answers with v as JSON.
+func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
