--- a/soak/endpoints_test.go
+++ b/soak/endpoints_test.go
@@ -15,11 +15,11 @@
 // endpoint is one stand-in server behind its link. The next endpoint reuses the link's address.
 type endpoint struct {
 	*server.Server
-	options    server.Options
-	link       *link
-	httpServer *http.Server
-	mu         sync.Mutex
-	removed    bool
+	options server.Options
+	link    *link
+	http    *http.Server
+	mu      sync.Mutex
+	removed bool
 	// leavingSince is when the store accepted the entry that says that the endpoint is leaving.
 	leavingSince time.Time
 }
@@ -48,14 +48,14 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(h.t, err)
 	if l == nil {
-		l = h.newLink(listener.Addr().String())
+		l = h.link(listener.Addr().String())
 	}
 	l.setTarget(listener.Addr().String())
 	o.Address = l.address()
 	e := &endpoint{Server: server.New(o), options: o, link: l}
-	e.httpServer = &http.Server{Handler: e.Server}
-	go func() { _ = e.httpServer.Serve(listener) }()
-	h.t.Cleanup(func() { _ = e.httpServer.Close() })
+	e.http = &http.Server{Handler: e.Server}
+	go func() { _ = e.http.Serve(listener) }()
+	h.t.Cleanup(func() { _ = e.http.Close() })
 	h.mu.Lock()
 	h.endpoints = append(h.endpoints, e)
 	h.mu.Unlock()
@@ -103,7 +103,7 @@
 	e.mu.Lock()
 	e.removed = true
 	e.mu.Unlock()
-	_ = e.httpServer.Close()
+	_ = e.http.Close()
 	e.link.reset()
 	time.AfterFunc(3*heartbeatPeriod, func() { h.store.Put("keyed.servers", e.options.ID, nil) })
 }
@@ -113,7 +113,7 @@
 	e.removed = true
 	e.mu.Unlock()
 	h.store.Put("keyed.servers", e.options.ID, nil)
-	_ = e.httpServer.Close()
+	_ = e.http.Close()
 }
 
 // liveEndpoints returns the endpoints of the service that are neither leaving nor removed.
--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -66,7 +66,7 @@
 	mu         sync.Mutex
 	endpoints  []*endpoint
 	requests   []*request
-	faults     []injectedFault
+	faults     []fault
 	violations []string
 	version    int
 	key        string
@@ -81,7 +81,7 @@
 // idleLimit is a limit for idle connections and the time at which it was written.
 type idleLimit struct {
 	written time.Time
-	limit   time.Duration
+	idle    time.Duration
 }
 
 // shutDown kills the last process of each router and prevents further starts.
@@ -105,33 +105,31 @@
 		t: t, dir: runDir(t, seed), binary: binary, seed: seed, runIndex: runs.Add(1), random: rand.New(rand.NewPCG(seed, seed)), done: make(chan struct{}),
 		keyWritten: map[string]time.Time{}, keyWithdrawn: map[string]time.Time{},
 	}
-	storeServer := httptest.NewServer(&h.store)
-	defer storeServer.Close()
-	h.storeAddress = strings.TrimPrefix(storeServer.URL, "http://")
+	s := httptest.NewServer(&h.store)
+	defer s.Close()
+	h.storeAddress = strings.TrimPrefix(s.URL, "http://")
 	h.writeConfiguration(longIdleLimit)
 	for range 3 {
 		h.startEndpoint(h.endpointOptions(modelService), nil)
 		h.startEndpoint(h.endpointOptions(plainService), nil)
 	}
-	for i := range envInt("SOAK_ROUTERS", 3) {
+	for i := range number("SOAK_ROUTERS", 3) {
 		r := h.newRouter(i)
 		h.routers = append(h.routers, r)
 		h.start(r)
 	}
 	defer h.shutDown()
 	var running sync.WaitGroup
-	for idling, number := range []int{idlesBriefly: 2 + 4*len(h.routers), idlesWithinLimit: 12 * len(h.routers), idlesPastLimit: 6 * len(h.routers)} {
+	for s, number := range []int{idlesBriefly: 2 + 4*len(h.routers), idlesWithinLimit: 12 * len(h.routers), idlesPastLimit: 6 * len(h.routers)} {
 		for i := range number {
-			running.Go(func() {
-				h.runClient(rand.New(rand.NewPCG(seed, uint64(idling*1000+i)+100)), idleBehavior(idling))
-			})
+			running.Go(func() { h.runClient(rand.New(rand.NewPCG(seed, uint64(s*1000+i)+100)), idleBehavior(s)) })
 		}
 	}
 	// Faults that begin before any router serves would find routers that refuse every request, and test nothing.
-	h.healAll()
-	for range envInt("SOAK_ROUNDS", 1) {
+	h.recover()
+	for range number("SOAK_ROUNDS", 1) {
 		h.injectFaults()
-		h.healAll()
+		h.recover()
 		h.makePlannedChanges()
 	}
 	close(h.done)
@@ -171,7 +169,7 @@
 		route("book", "non_idempotent", plainService, 2, false), route("draft", "streaming", modelService, 2, true),
 		route("talk", "streaming", modelService, 1, false), idle.Milliseconds(), h.key))
 	h.keyWritten[h.key] = time.Now()
-	h.idleLimits = append(h.idleLimits, idleLimit{written: time.Now(), limit: idle})
+	h.idleLimits = append(h.idleLimits, idleLimit{written: time.Now(), idle: idle})
 	h.keyWithdrawn[old] = time.Now()
 }
 
@@ -180,10 +178,10 @@
 func (h *harness) knownIdleLimit() (idle time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	idle = h.idleLimits[0].limit
+	idle = h.idleLimits[0].idle
 	for _, l := range h.idleLimits {
 		if time.Since(l.written) > configurationDelay {
-			idle = l.limit
+			idle = l.idle
 		}
 	}
 	return idle
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -28,7 +28,8 @@
 	fromTarget = 1
 )
 
-func (h *harness) newLink(target string) (l *link) {
+// link opens a link to the target address.
+func (h *harness) link(target string) (l *link) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(h.t, err)
 	l = &link{listener: listener, target: target, open: map[net.Conn]bool{}}
@@ -110,10 +111,10 @@
 
 func (l *link) waitToDeliver(direction int) {
 	l.mu.Lock()
-	held, delay := l.blocked[direction], l.delay
+	blocked, delay := l.blocked[direction], l.delay
 	l.mu.Unlock()
-	if held != nil {
-		<-held
+	if blocked != nil {
+		<-blocked
 	}
 	<-time.After(delay)
 }
@@ -146,9 +147,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = 0
-	for i, held := range l.blocked {
-		if held != nil {
-			close(held)
+	for i, blocked := range l.blocked {
+		if blocked != nil {
+			close(blocked)
 			l.blocked[i] = nil
 		}
 	}
--- a/soak/variants_test.go
+++ b/soak/variants_test.go
@@ -12,7 +12,7 @@
 
 // variant is the router without one safeguard: one piece of text in a source file is replaced by another.
 type variant struct {
-	file, original, replacement string
+	file, text, replacement string
 }
 
 // Each variant has a defect that would harm clients or endpoints; the soak test has to detect it within five seeds.
@@ -69,9 +69,9 @@
 	assert.NilError(t, err)
 	source, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	assert.Equal(t, strings.Count(string(source), v.original), 1, "%s does not contain this text exactly once: %s", v.file, v.original)
+	assert.Equal(t, strings.Count(string(source), v.text), 1, "%s does not contain this text exactly once: %s", v.file, v.text)
 	changed := filepath.Join(t.TempDir(), "changed.go")
-	assert.NilError(t, os.WriteFile(changed, []byte(strings.Replace(string(source), v.original, v.replacement, 1)), 0o600))
+	assert.NilError(t, os.WriteFile(changed, []byte(strings.Replace(string(source), v.text, v.replacement, 1)), 0o600))
 	text, err := json.Marshal(map[string]map[string]string{"Replace": {path: changed}})
 	assert.NilError(t, err)
 	file = filepath.Join(t.TempDir(), "overlay.json")
