--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -13,13 +13,13 @@
 // arrivalsByRequest holds the arrivals of each request at all endpoints, by request ID.
 type arrivalsByRequest map[string][]fakeendpoint.ReceivedRequest
 
-func (h *harness) arrivals() (byRequest arrivalsByRequest) {
+func (h *harness) arrivalsByRequest() (byRequest arrivalsByRequest) {
 	byRequest = arrivalsByRequest{}
-	for _, e := range h.endpoints {
-		for _, a := range e.ReceivedRequests() {
+	for _, b := range h.endpoints {
+		for _, a := range b.ReceivedRequests() {
 			byRequest[a.ID] = append(byRequest[a.ID], a)
 			if a.HasClientKey {
-				h.addViolation("%s reached endpoint %s with the client's key", a.ID, e.options.ID)
+				h.addViolation("%s reached endpoint %s with the client's key", a.ID, b.options.ID)
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 
 // check verifies the guarantees for the whole run, after it has ended.
 func (h *harness) check() {
-	arrivals := h.arrivals()
+	arrivals := h.arrivalsByRequest()
 	servedWhole, afterIdle, inParts := 0, 0, 0
 	for _, q := range h.requests {
 		if q.sent.Sub(q.idleSince) > time.Second {
@@ -130,11 +130,11 @@
 	if inForce && (q.answer.Status == http.StatusUnauthorized || q.answer.Status == http.StatusNotFound) {
 		h.addViolation("%s got %d from %s for %s, in force for %v", q.id, q.answer.Status, q.router.name, q.key, q.sent.Sub(at))
 	}
-	if len(arrivals[q.id]) > 0 && !q.abandoned && !q.answer.Complete {
+	if len(arrivals[q.id]) > 0 && !q.abandon && !q.answer.Complete {
 		h.addViolation("%s %s reached an endpoint and ran %d times, but its answer from %s was truncated after %v: status %d, %q; %s", q.route, q.id,
 			h.timesRun(q.id), q.router.name, q.ended.Sub(q.sent), q.answer.Status, q.answer.Body, q.timing())
 	}
-	if q.abandoned && time.Since(q.ended) > time.Second {
+	if q.abandon && time.Since(q.ended) > time.Second {
 		for _, e := range h.endpoints {
 			if e.Executing(q.id) {
 				h.addViolation("%s is still being processed %v after its client disconnected", q.id, time.Since(q.ended))
@@ -147,7 +147,7 @@
 // ends. A connection that was idle within its limit must answer the next request; only a router that is stopping, or a
 // client that exceeded the limit, may end it without an answer.
 func (h *harness) checkUnanswered(q *request) {
-	if q.answer.RequestRead && !q.abandoned && !h.disturbed(q.router, q.sent, q.ended) {
+	if q.answer.RequestRead && !q.abandon && !h.disturbed(q.router, q.sent, q.ended) {
 		h.addViolation("%s %s was read by %s and neither answered nor refused: %s", q.route, q.id, q.router.name, q.timing())
 	}
 	if q.conn == nil || q.answer.Status != 0 || h.disturbed(q.router, q.idleSince, q.ended) {
@@ -156,7 +156,7 @@
 	if !q.fullySent.IsZero() && q.ended.Sub(q.fullySent) > latencySlack {
 		h.addViolation("%s %s was neither answered nor refused by %s for %v: %s", q.route, q.id, q.router.name, q.ended.Sub(q.fullySent), q.timing())
 	}
-	if q.conn.idling != idlesPastLimit && !h.stopping(q.router, q.idleSince, q.ended) {
+	if q.conn.idleBehavior != idlesPastLimit && !h.stopping(q.router, q.idleSince, q.ended) {
 		h.addViolation("%s %s was not answered by %s: %s", q.route, q.id, q.router.name, q.timing())
 	}
 }
@@ -190,8 +190,8 @@
 // one afterwards.
 func (h *harness) checkVersionOrder() {
 	type routerProcess struct {
-		router *router
-		boot   int
+		router      *router
+		routerStart int
 	}
 	type effect struct {
 		at      time.Time
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -17,22 +17,22 @@
 	routerStart    int
 	sent, ended    time.Time
 	answer         testclient.Response
-	// abandoned is set if the client disconnected before the answer was complete.
-	abandoned bool
+	// abandon is set if the client disconnected before the answer was complete.
+	abandon bool
 	// conn is set if the connection can be reused, idleSince is when the connection became idle, and parts is the
 	// number of writes that the request was split into.
-	conn      *clientConn
+	conn      *conn
 	idleSince time.Time
 	parts     int
 	// fullySent is when the last byte was sent, or zero if sending failed.
 	fullySent time.Time
 }
 
-// clientConn is a connection that a client uses for several requests in sequence.
-type clientConn struct {
+// conn is a connection that a client uses for several requests in sequence.
+type conn struct {
 	*testclient.Conn
-	idling idleBehavior
-	random *rand.Rand
+	idleBehavior idleBehavior
+	random       *rand.Rand
 	// idleSince is when the last answer was read, or when the connection was opened.
 	idleSince time.Time
 }
@@ -49,19 +49,19 @@
 )
 
 // dial opens a client connection, and records the time if the router refuses it.
-func (r *router) dial(idling idleBehavior, random *rand.Rand) (c *clientConn, err error) {
+func (r *router) dial(idling idleBehavior, random *rand.Rand) (c *conn, err error) {
 	raw, err := testclient.Dial(r.clientAddress)
 	if err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.refusedDials = append(r.refusedDials, time.Now())
 	}
-	return &clientConn{Conn: raw, idling: idling, random: random, idleSince: time.Now()}, err
+	return &conn{Conn: raw, idleBehavior: idling, random: random, idleSince: time.Now()}, err
 }
 
 // idleTime returns how long the client leaves the connection idle before its next request.
-func (h *harness) idleTime(c *clientConn) (d time.Duration) {
-	switch c.idling {
+func (h *harness) idleTime(c *conn) (d time.Duration) {
+	switch c.idleBehavior {
 	case idlesWithinLimit:
 		return h.safeIdleTime() - time.Duration(c.random.IntN(2)*c.random.IntN(1000))*time.Millisecond
 	case idlesPastLimit:
@@ -71,7 +71,7 @@
 }
 
 // send writes the request, sometimes in several parts.
-func (c *clientConn) send(q *request, msg testclient.Request) (err error) {
+func (c *conn) send(q *request, msg testclient.Request) (err error) {
 	q.conn, q.idleSince = c, c.idleSince
 	if c.random.IntN(4) == 0 {
 		msg.Body = strings.Repeat("x", c.random.IntN(2)*c.random.IntN(4000))
@@ -85,14 +85,14 @@
 }
 
 // send sends one request with the newest key and waits for its answer; a nil connection means a new one.
-func (h *harness) send(r *router, c *clientConn, route string) testclient.Response {
+func (h *harness) send(r *router, c *conn, route string) testclient.Response {
 	h.mu.Lock()
 	key := h.key
 	h.mu.Unlock()
 	return h.sendWithKey(r, c, route, key)
 }
 
-func (h *harness) sendWithKey(r *router, c *clientConn, route, key string) testclient.Response {
+func (h *harness) sendWithKey(r *router, c *conn, route, key string) testclient.Response {
 	q := &request{id: fmt.Sprint("r", h.nextID.Add(1)), route: route, key: key, router: r, sent: time.Now(), parts: 1}
 	q.idleSince, q.routerStart = q.sent, r.startCount()
 	msg := testclient.Request{Method: http.MethodPost, Host: host, Path: "/" + route + "/" + q.id, ID: q.id, Key: key}
@@ -112,8 +112,8 @@
 	return q.answer
 }
 
-// abandonStream sends a streaming request and disconnects before the answer can be complete.
-func (h *harness) abandonStream(r *router) {
+// abandon sends a streaming request and disconnects before the answer can be complete.
+func (h *harness) abandon(r *router) {
 	c, err := testclient.Dial(r.clientAddress)
 	if err != nil {
 		return
@@ -121,7 +121,7 @@
 	h.mu.Lock()
 	key := h.key
 	h.mu.Unlock()
-	q := &request{id: fmt.Sprint("r", h.nextID.Add(1)), route: "draft", key: key, router: r, sent: time.Now(), abandoned: true, parts: 1}
+	q := &request{id: fmt.Sprint("r", h.nextID.Add(1)), route: "draft", key: key, router: r, sent: time.Now(), abandon: true, parts: 1}
 	q.idleSince, q.routerStart = q.sent, r.startCount()
 	_ = c.Send(testclient.Request{Method: http.MethodPost, Host: host, Path: "/draft/" + q.id, ID: q.id, Key: key})
 	<-time.After(2 * eventInterval)
@@ -162,11 +162,11 @@
 	}
 }
 
-func (h *harness) sendRandomRequest(r *router, c *clientConn, random *rand.Rand) {
+func (h *harness) sendRandomRequest(r *router, c *conn, random *rand.Rand) {
 	routes := []string{"read", "book", "draft", "talk"}
 	switch random.IntN(12) {
 	case 0:
-		h.abandonStream(r)
+		h.abandon(r)
 	case 1, 2:
 		h.mu.Lock()
 		old := fmt.Sprint("key", random.IntN(h.version+1))
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// injectedFault is a fault that was injected; target is a router's name, or empty if it affects all routers.
-type injectedFault struct {
+// fault is a fault that was injected; target is a router's name, or empty if it affects all routers.
+type fault struct {
 	kind, target string
 	from, to     time.Time
 	// planned marks planned maintenance, which clients must not notice; only the router's own readiness may change.
 	planned bool
 }
 
-func (h *harness) recordFault(kind, target string, duration time.Duration, planned bool) {
+// fault records an injected fault that begins now.
+func (h *harness) fault(kind, target string, duration time.Duration, planned bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	h.faults = append(h.faults, injectedFault{kind: kind, target: target, from: now, to: now.Add(duration), planned: planned})
+	h.faults = append(h.faults, fault{kind: kind, target: target, from: now, to: now.Add(duration), planned: planned})
 }
 
 // disturbed returns whether an unplanned fault affected the router between from and to, or within settleTime before
@@ -66,8 +67,8 @@
 	for end := time.Now().Add(faultPhase); time.Now().Before(end); {
 		kind, r := h.random.IntN(14), h.routers[h.random.IntN(len(h.routers))]
 		duration := 100*time.Millisecond + time.Duration(h.random.Int64N(int64(maxFaultDuration)))
-		random := rand.New(rand.NewPCG(h.random.Uint64(), 0))
-		running.Go(func() { h.injectFault(kind, r, duration, random) })
+		faultRandom := rand.New(rand.NewPCG(h.random.Uint64(), 0))
+		running.Go(func() { h.injectFault(kind, r, duration, faultRandom) })
 		<-time.After(time.Duration(50+h.random.IntN(500)) * time.Millisecond)
 	}
 	running.Wait()
@@ -77,10 +78,10 @@
 // from another router, until keyTerm has passed.
 func (h *harness) isolateRouter() {
 	r := h.routers[len(h.routers)-1]
-	h.recordFault("isolated", "", maxFaultDuration, false)
-	links := []*link{r.storeLink}
+	h.fault("isolated", "", maxFaultDuration, false)
+	links := []*link{r.store}
 	for _, other := range h.routers {
-		links = append(links, other.peerLink)
+		links = append(links, other.peers)
 	}
 	for _, l := range links {
 		l.block(toTarget)
@@ -103,7 +104,7 @@
 // resetEndpoints is part of every fault phase: it resets the connections of all endpoints several times in a row.
 func (h *harness) resetEndpoints() {
 	for range 6 {
-		h.recordFault("endpoints reset", "", 0, false)
+		h.fault("endpoints reset", "", 0, false)
 		for _, e := range append(h.liveEndpoints(modelService), h.liveEndpoints(plainService)...) {
 			e.link.reset()
 		}
@@ -114,22 +115,22 @@
 func (h *harness) injectFault(kind int, r *router, duration time.Duration, random *rand.Rand) {
 	switch kind {
 	case 0:
-		h.recordFault("killed", r.name, 0, false)
+		h.fault("killed", r.name, 0, false)
 		r.kill()
 		h.start(r)
 	case 1:
 		h.pauseRouter(r, duration)
 	case 2:
-		h.recordFault(stopFault, r.name, stopGrace, true)
+		h.fault(stopFault, r.name, stopGrace, true)
 		r.signal(syscall.SIGTERM)
 		h.start(r)
 	case 3:
-		h.recordFault("settings reloaded", r.name, 0, true)
+		h.fault("settings reloaded", r.name, 0, true)
 		r.signal(syscall.SIGHUP)
 	case 4:
-		h.injectLinkFault(r.storeLink, "store link", r.name, duration, random)
+		h.injectLinkFault(r.store, "store link", r.name, duration, random)
 	case 5:
-		h.injectLinkFault(r.peerLink, "peer link", "", duration, random)
+		h.injectLinkFault(r.peers, "peer link", "", duration, random)
 	case 6, 7:
 		e := h.randomEndpoint(random)
 		h.injectLinkFault(e.link, "endpoint link", "", duration, random)
@@ -142,7 +143,7 @@
 	case 11:
 		h.injectStoreFault("store slow", duration, func(on bool) { h.store.SetDelay(map[bool]time.Duration{true: 200 * time.Millisecond}[on]) })
 	case 12:
-		h.recordFault("store lost records", "", 0, false)
+		h.fault("store expired records", "", 0, false)
 		h.store.Compact("keyed.servers")
 		h.store.Compact("keyed.op")
 		h.store.LoseResponses(1)
@@ -152,14 +153,14 @@
 }
 
 func (h *harness) pauseRouter(r *router, duration time.Duration) {
-	h.recordFault("paused", r.name, duration, false)
+	h.fault("paused", r.name, duration, false)
 	r.signal(syscall.SIGSTOP)
 	<-time.After(duration)
 	r.signal(syscall.SIGCONT)
 }
 
 func (h *harness) injectStoreFault(kind string, duration time.Duration, set func(on bool)) {
-	h.recordFault(kind, "", duration, false)
+	h.fault(kind, "", duration, false)
 	set(true)
 	<-time.After(duration)
 	set(false)
@@ -168,7 +169,7 @@
 // injectLinkFault applies one of five faults to a link and heals it after the duration.
 func (h *harness) injectLinkFault(l *link, kind, target string, duration time.Duration, random *rand.Rand) {
 	effect := random.IntN(5)
-	h.recordFault(fmt.Sprint(kind, " ", []string{"to target blocked", "from target blocked", "blocked", "slow", "reset"}[effect]), target, duration, false)
+	h.fault(fmt.Sprint(kind, " ", []string{"to target blocked", "from target blocked", "blocked", "slow", "reset"}[effect]), target, duration, false)
 	switch effect {
 	case 0:
 		l.block(toTarget)
@@ -198,19 +199,19 @@
 	if len(h.liveEndpoints(e.options.Service)) < 2 {
 		return
 	}
-	h.recordFault("endpoint crashed", "", 500*time.Millisecond, false)
+	h.fault("endpoint crashed", "", 500*time.Millisecond, false)
 	h.crashEndpoint(e)
 	<-time.After(500 * time.Millisecond)
 	o := h.endpointOptions([]string{modelService, plainService}[random.IntN(2)])
 	h.startEndpoint(o, e.link)
 }
 
-// healAll ends all faults and waits until all routers serve.
-func (h *harness) healAll() {
+// recover ends all faults and waits until all routers serve.
+func (h *harness) recover() {
 	for _, r := range h.routers {
 		r.signal(syscall.SIGCONT)
-		r.storeLink.heal()
-		r.peerLink.heal()
+		r.store.heal()
+		r.peers.heal()
 	}
 	for _, service := range []string{modelService, plainService} {
 		for len(h.liveEndpoints(service)) < 3 {
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -18,8 +18,8 @@
 	name          string
 	settingsFile  string
 	clientAddress string
-	storeLink     *link
-	peerLink      *link
+	store         *link
+	peers         *link
 
 	// startMu is held while one process exits and the next one starts.
 	startMu sync.Mutex
@@ -53,7 +53,7 @@
 	}
 	r = &router{
 		name: fmt.Sprintf("vm%d", i), settingsFile: filepath.Join(h.dir, fmt.Sprintf("vm%d.toml", i)), clientAddress: addresses[0],
-		storeLink: h.newLink(h.storeAddress), peerLink: h.newLink(addresses[3]),
+		store: h.link(h.storeAddress), peers: h.link(addresses[3]),
 	}
 	h.writeSettings(r, addresses)
 	return r
@@ -63,7 +63,7 @@
 	text := fmt.Sprintf("[vm]\nname = %q\nfailureDomain = \"a\"\n[clients]\naddress = %q\n[readiness]\naddress = %q\n"+
 		"[metrics]\naddress = %q\n[peers]\naddress = %q\nannounced = %q\n[store]\naddress = %q\n[keys]\nwithdrawnWithin = %q\n"+
 		"[retries]\nratio = %v\nslack = %d\n[stop]\ngrace = %q\n",
-		r.name, addresses[0], addresses[1], addresses[2], addresses[3], r.peerLink.address(), r.storeLink.address(), keyTerm,
+		r.name, addresses[0], addresses[1], addresses[2], addresses[3], r.peers.address(), r.store.address(), keyTerm,
 		retryRatio, retrySlack, stopGrace)
 	assert.NilError(h.t, os.WriteFile(r.settingsFile, []byte(text), 0o600))
 }
@@ -77,9 +77,9 @@
 	running, before := r.cmd != nil && !r.stopRequested, r.exited
 	r.mu.Unlock()
 	h.mu.Lock()
-	ended := h.stopped
+	stopped := h.stopped
 	h.mu.Unlock()
-	if running || ended {
+	if running || stopped {
 		return
 	}
 	if before != nil {
@@ -102,30 +102,30 @@
 	err := cmd.Wait()
 	// Set before the next process can start, because that one has not been told to stop.
 	r.mu.Lock()
-	told := r.stopRequested
+	stopRequested := r.stopRequested
 	r.stopRequested = true
 	r.mu.Unlock()
 	close(exited)
-	if told {
+	if stopRequested {
 		return
 	}
 	h.addViolation("%s exited without being told to: %v", r.name, err)
-	h.recordFault("exited unexpectedly", r.name, 0, false)
+	h.fault("exited unexpectedly", r.name, 0, false)
 	h.start(r)
 }
 
 // signal signals only the process that this run started last for the router, and nothing once that process has exited.
-func (r *router) signal(signal syscall.Signal) {
+func (r *router) signal(sig syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if signal == syscall.SIGHUP && time.Since(r.started) < minReloadAge {
+	if sig == syscall.SIGHUP && time.Since(r.started) < minReloadAge {
 		return
 	}
-	if signal == syscall.SIGTERM && !r.stopRequested && time.Since(r.started) > settleTime {
+	if sig == syscall.SIGTERM && !r.stopRequested && time.Since(r.started) > settleTime {
 		r.stopTimes = append(r.stopTimes, time.Now())
 	}
-	r.stopRequested = r.stopRequested || signal == syscall.SIGKILL || signal == syscall.SIGTERM
-	_ = r.cmd.Process.Signal(signal)
+	r.stopRequested = r.stopRequested || sig == syscall.SIGKILL || sig == syscall.SIGTERM
+	_ = r.cmd.Process.Signal(sig)
 }
 
 func (r *router) kill() {
