--- a/io/command/standin.go
+++ b/io/command/standin.go
@@ -101,7 +101,7 @@
 		Name: "engine", ShortUsage: "savoryfall standin engine [flags]", ShortHelp: "run a model engine", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			e := engine.New(engine.Options{
-				Name: *name, Models: strings.Split(*models, ","), Step: *step, ChecksFence: *fence, WeightStore: *weights,
+				Name: *name, Models: strings.Split(*models, ","), StepInterval: *step, ChecksFence: *fence, WeightStoreURL: *weights,
 			})
 			go e.Run(ctx)
 			return serveStandin(ctx, s, *address, e.Handler())
--- a/io/fleet/answers_test.go
+++ b/io/fleet/answers_test.go
@@ -40,7 +40,7 @@
 
 func setAllFaults(f *fleet.Fleet, faults engine.Faults) {
 	for _, e := range f.Engines() {
-		e.Set(faults)
+		e.SetFaults(faults)
 	}
 }
 
@@ -95,15 +95,15 @@
 }
 
 func want(text string) string {
-	return engine.Answer(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text))
+	return engine.ExpectedAnswer(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text))
 }
 
 // The engine's first response carries the attempt ID of another request, as when responses on a connection get mixed up.
 // The router drops it, closes the connection and retries at another engine; the client gets its own complete response.
 func TestMismatchedResponseIsDropped(t *testing.T) {
 	f := startFleetWithLimits(t, 3, 0, "")
-	f.Engine("engine-01").Set(engine.Faults{CrossNext: 1})
-	f.Engine("engine-02").Set(engine.Faults{CrossNext: 1})
+	f.Engine("engine-01").SetFaults(engine.Faults{WrongAttemptNext: 1})
+	f.Engine("engine-02").SetFaults(engine.Faults{WrongAttemptNext: 1})
 	for i := range 6 {
 		text := fmt.Sprintf("mismatched %d #20", i)
 		assert.Equal(t, complete(t, f, text), want(text))
@@ -116,7 +116,7 @@
 	f := startFleetWithLimits(t, 2, 0, "firstToken = \"100ms\"\n")
 	for name, e := range f.Engines() {
 		if name == "engine-01" {
-			e.Set(engine.Faults{LateMs: 300})
+			e.SetFaults(engine.Faults{DelayMs: 300})
 		}
 	}
 	for i := range 8 {
@@ -132,16 +132,16 @@
 		name   string
 		faults engine.Faults
 	}{
-		{"dies", engine.Faults{DieNext: 1, DieAfterTokens: 7}},
-		{"dies at the first token", engine.Faults{DieNext: 1, DieAfterTokens: 1}},
-		{"ends without [DONE]", engine.Faults{TruncateNext: 1, DieAfterTokens: 7}},
+		{"dies", engine.Faults{AbortNext: 1, StopAfterTokens: 7}},
+		{"dies at the first token", engine.Faults{AbortNext: 1, StopAfterTokens: 1}},
+		{"ends without [DONE]", engine.Faults{TruncateNext: 1, StopAfterTokens: 7}},
 		{"drops the request", engine.Faults{DropNext: 1}},
 		{"fails", engine.Faults{FailNext: 1}},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			f := startFleetWithLimits(t, 4, 0, "")
-			f.Engine("engine-01").Set(fault.faults)
-			f.Engine("engine-02").Set(fault.faults)
+			f.Engine("engine-01").SetFaults(fault.faults)
+			f.Engine("engine-02").SetFaults(fault.faults)
 			for i := range 6 {
 				text := fmt.Sprintf("long %d #40", i)
 				assert.Equal(t, complete(t, f, text), want(text))
@@ -154,7 +154,7 @@
 // mistake the partial response for a complete one.
 func TestUnrecoverableStreamEndsInError(t *testing.T) {
 	f := startFleetWithLimits(t, 2, 0, "")
-	setAllFaults(f, engine.Faults{DieNext: 9, DieAfterTokens: 3})
+	setAllFaults(f, engine.Faults{AbortNext: 9, StopAfterTokens: 3})
 	lines, err := streamLines(t.Context(), f, "doomed #40")
 	assert.NilError(t, err)
 	body := strings.Join(lines, "\n")
@@ -173,7 +173,7 @@
 	_, err = io.ReadFull(resp.Body, make([]byte, 64))
 	assert.NilError(t, err)
 	hangUp()
-	waitFor(t, "the engine is idle", func() bool { return f.Engine("engine-01").Truth().Requests == 0 })
+	waitFor(t, "the engine is idle", func() bool { return f.Engine("engine-01").ActualState().Requests == 0 })
 }
 
 // The outcome header reports notRun when every process of a plain service refused the call, and unknown when a process
@@ -187,12 +187,12 @@
 		{"refuses", plainservice.Faults{Refuse: true}, "notRun"},
 		{"drops before running", plainservice.Faults{DropBefore: 9}, "unknown"},
 		{"drops after running", plainservice.Faults{DropAfter: 9}, "unknown"},
-		{"mismatched response", plainservice.Faults{CrossNext: 9}, "unknown"},
+		{"mismatched response", plainservice.Faults{WrongAttemptNext: 9}, "unknown"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := startFleetWithLimits(t, 0, 2, "")
 			for _, s := range f.Services() {
-				s.Set(tc.faults)
+				s.SetFaults(tc.faults)
 			}
 			resp, err := post(t.Context(), f, fleet.NonIdempotentPath, "permit")
 			assert.NilError(t, err)
@@ -202,7 +202,7 @@
 			assert.Equal(t, resp.Header.Get(header.Outcome), tc.outcome, "%s", body)
 			ran := 0
 			for _, s := range f.Services() {
-				ran += s.Ran()[""]
+				ran += s.RunCounts()[""]
 			}
 			assert.Assert(t, ran <= 1, "executed %d times", ran)
 			assert.Assert(t, tc.outcome != "notRun" || ran == 0)
@@ -214,8 +214,8 @@
 // sees its connection break instead of a short response that looks complete.
 func TestTruncatedResponseBreaksConnection(t *testing.T) {
 	f := startFleetWithLimits(t, 0, 1, "")
-	for _, faults := range []plainservice.Faults{{ShortAnswer: 1}, {DropMiddle: 1}} {
-		f.Service("service-01").Set(faults)
+	for _, faults := range []plainservice.Faults{{TruncateAnswers: 1}, {DropMidAnswer: 1}} {
+		f.Service("service-01").SetFaults(faults)
 		resp, err := post(t.Context(), f, "/permits/list", "x")
 		assert.NilError(t, err)
 		var got bytes.Buffer
@@ -239,5 +239,5 @@
 		assert.NilError(t, resp.Body.Close())
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 	}
-	assert.Equal(t, f.Service("service-06").Ran()[""], 2)
+	assert.Equal(t, f.Service("service-06").RunCounts()[""], 2)
 }
--- a/io/fleet/claims_test.go
+++ b/io/fleet/claims_test.go
@@ -47,7 +47,7 @@
 
 func executions(f *fleet.Fleet, key string) (n int) {
 	for _, s := range f.Services() {
-		n += s.Ran()[key]
+		n += s.RunCounts()[key]
 	}
 	return n
 }
@@ -89,7 +89,7 @@
 // second one, and the client is served.
 func TestLostAppendResponseIsReadBack(t *testing.T) {
 	f := startClaimFleet(t, 1)
-	f.Log.Set(logservice.Faults{LoseAnswers: 1})
+	f.Log.SetFaults(logservice.Faults{DropAnswers: 1})
 	got := callNonIdempotent(t, f, 0, "k", "permit")
 	assert.Equal(t, got.status, http.StatusOK, "%+v", got)
 	assert.Equal(t, executions(f, "k"), 1)
@@ -98,13 +98,13 @@
 // While the log is down, the client gets notRun with a Retry-After header; once the log is back, the same key runs.
 func TestLogOutageRejectsClaimsImmediately(t *testing.T) {
 	f := startClaimFleet(t, 1)
-	f.Log.Set(logservice.Faults{Down: true})
+	f.Log.SetFaults(logservice.Faults{Down: true})
 	got := callNonIdempotent(t, f, 0, "k", "permit")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable, "%+v", got)
 	assert.Equal(t, got.outcome, "notRun")
 	assert.Assert(t, got.retryAfter != "")
 	assert.Equal(t, executions(f, "k"), 0)
-	f.Log.Set(logservice.Faults{})
+	f.Log.SetFaults(logservice.Faults{})
 	waitFor(t, "the key runs", func() bool { return callNonIdempotent(t, f, 0, "k", "permit").status == http.StatusOK })
 	assert.Equal(t, executions(f, "k"), 1)
 }
@@ -114,7 +114,7 @@
 func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	f := startClaimFleet(t, 2)
 	for _, s := range f.Services() {
-		s.Set(plainservice.Faults{DropAfter: 1})
+		s.SetFaults(plainservice.Faults{DropAfter: 1})
 	}
 	first := callNonIdempotent(t, f, 0, "k", "permit")
 	assert.Equal(t, first.outcome, "unknown", "%+v", first)
@@ -132,7 +132,7 @@
 func TestRouterCrashWithPendingClaim(t *testing.T) {
 	f := startClaimFleet(t, 2)
 	for _, s := range f.Services() {
-		s.Set(plainservice.Faults{LateMs: 300})
+		s.SetFaults(plainservice.Faults{DelayMs: 300})
 	}
 	callResult := make(chan error, 1)
 	go func() {
@@ -158,12 +158,12 @@
 func TestRejectedCallReleasesItsKey(t *testing.T) {
 	f := startClaimFleet(t, 2)
 	for _, s := range f.Services() {
-		s.Set(plainservice.Faults{Refuse: true})
+		s.SetFaults(plainservice.Faults{Refuse: true})
 	}
 	got := callNonIdempotent(t, f, 0, "k", "permit")
 	assert.Equal(t, got.outcome, "notRun", "%+v", got)
 	for _, s := range f.Services() {
-		s.Set(plainservice.Faults{})
+		s.SetFaults(plainservice.Faults{})
 	}
 	waitFor(t, "the key runs", func() bool { return callNonIdempotent(t, f, 1, "k", "permit").status == http.StatusOK })
 	assert.Equal(t, executions(f, "k"), 1)
--- a/io/fleet/clients_test.go
+++ b/io/fleet/clients_test.go
@@ -76,7 +76,7 @@
 			sendAndClose(t, f, requestHead(completionsPath, len(body))+"\r\n"+body, 2000)
 		}
 		for name, e := range f.Engines() {
-			waitFor(t, name+" is idle", func() bool { return e.Truth().Requests == 0 })
+			waitFor(t, name+" is idle", func() bool { return e.ActualState().Requests == 0 })
 		}
 		waitFor(t, "no request is active or waiting", func() bool {
 			s := status(t, f.Routers()[0])
--- a/io/fleet/configuration_test.go
+++ b/io/fleet/configuration_test.go
@@ -44,7 +44,7 @@
 // The log is slow for one router only, which still applies the note in time because its peers send it.
 func TestPeersDeliverNotesWhenLogIsSlow(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
-	f.Log.Set(logservice.Faults{SlowMs: 60_000, SlowReaders: []string{"entry-2"}})
+	f.Log.SetFaults(logservice.Faults{DelayMs: 60_000, SlowReaders: []string{"entry-2"}})
 	// The long poll that is already pending returns at once; only the reads after it are slow.
 	f.Publish(t.Context(), addModelNote("second", "first", "sur-small"))
 	waitFor(t, "second is in force everywhere", func() bool { return inForce(t, f, "second") })
@@ -78,7 +78,7 @@
 // While the log is down, the routers keep serving with the configuration in force, and a new VM fetches it from a peer.
 func TestLogOutageKeepsConfiguration(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 2, Engines: 2})
-	f.Log.Set(logservice.Faults{Down: true})
+	f.Log.SetFaults(logservice.Faults{Down: true})
 	assert.Equal(t, complete(t, f, "served #5"), want("served #5"))
 	r, err := f.AddRouter(t.Context())
 	assert.NilError(t, err)
@@ -124,7 +124,7 @@
 // While the log is down and there is no peer, a new VM is not ready and rejects requests; it recovers when the log is back.
 func TestNewVMWithoutLogOrPeersRejectsRequests(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 1})
-	f.Log.Set(logservice.Faults{Down: true})
+	f.Log.SetFaults(logservice.Faults{Down: true})
 	f.KillRouter(f.Routers()[0])
 	r, err := f.AddRouter(t.Context())
 	assert.NilError(t, err)
@@ -135,7 +135,7 @@
 	lines, err := streamLines(t.Context(), f, "nothing #5")
 	assert.NilError(t, err)
 	assert.Assert(t, len(lines) == 1, "%v", lines)
-	f.Log.Set(logservice.Faults{})
+	f.Log.SetFaults(logservice.Faults{})
 	waitFor(t, "the router recovers", r.Ready)
 }
 
@@ -145,7 +145,7 @@
 // all in order.
 func TestNoteBurstIsAppliedInOrder(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
-	f.Log.Set(logservice.Faults{SlowMs: 20})
+	f.Log.SetFaults(logservice.Faults{DelayMs: 20})
 	began := time.Now()
 	base := "first"
 	for n := range burstSize {
--- a/io/fleet/fleet_test.go
+++ b/io/fleet/fleet_test.go
@@ -22,7 +22,7 @@
 	if o.ExtraSettings == nil {
 		o.ExtraSettings = map[string]string{"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n"}
 	}
-	o.Engine.Step = 2 * time.Millisecond
+	o.Engine.StepInterval = 2 * time.Millisecond
 	f := fleet.New(o, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
@@ -59,6 +59,6 @@
 			assert.Assert(t, all.AddChunk(s.Current()))
 		}
 		assert.NilError(t, s.Err())
-		assert.Equal(t, all.Choices[0].Message.Content, engine.Answer([]byte(`[{"role":"user","content":"quota #20"}]`)))
+		assert.Equal(t, all.Choices[0].Message.Content, engine.ExpectedAnswer([]byte(`[{"role":"user","content":"quota #20"}]`)))
 	}
 }
--- a/io/fleet/leaving_test.go
+++ b/io/fleet/leaving_test.go
@@ -43,7 +43,7 @@
 	address := leaving.CallerAddress()
 	assert.Assert(t, !call(t, address, http.MethodGet, "/v1/models", "").Close, "before the stop")
 	for _, s := range f.Services() {
-		s.Set(plainservice.Faults{LateMs: 500})
+		s.SetFaults(plainservice.Faults{DelayMs: 500})
 	}
 	earlierResponses := make(chan *http.Response)
 	go func() {
--- a/io/fleet/lifecycle.go
+++ b/io/fleet/lifecycle.go
@@ -43,7 +43,7 @@
 	defer annotate.Error(&err, "start engine %s", name)
 	o := f.opts.Engine
 	o.Name, o.Models = name, f.opts.Models
-	o.WeightStore = "http://" + f.Address("weights")
+	o.WeightStoreURL = "http://" + f.Address("weights")
 	e := engine.New(o)
 	err = f.serveAt(ctx, name, address, e.Handler())
 	if err != nil {
--- a/io/fleet/members_test.go
+++ b/io/fleet/members_test.go
@@ -80,15 +80,15 @@
 // announcing it.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 2})
-	f.Engine("engine-01").Set(engine.Faults{Leaving: true})
+	f.Engine("engine-01").SetFaults(engine.Faults{Leaving: true})
 	waitFor(t, "engine-01 is leaving everywhere", func() bool { return healthEverywhere(t, f, health.Leaving) })
-	served := f.Engine("engine-01").Truth().Served
+	served := f.Engine("engine-01").ActualState().Served
 	for i := range 10 {
 		text := fmt.Sprintf("elsewhere %d #5", i)
 		assert.Equal(t, complete(t, f, text), want(text))
 	}
-	assert.Equal(t, f.Engine("engine-01").Truth().Served, served)
-	f.Engine("engine-01").Set(engine.Faults{})
+	assert.Equal(t, f.Engine("engine-01").ActualState().Served, served)
+	f.Engine("engine-01").SetFaults(engine.Faults{})
 	assert.Equal(t, endpointState(t, f.Routers()[0], "engine-01"), health.Leaving, "a leaving mark is never removed")
 }
 
@@ -139,7 +139,7 @@
 				ended.Store(true)
 			}()
 		}
-		return f.Engine(name).Truth().Requests > 0
+		return f.Engine(name).ActualState().Requests > 0
 	})
 	return all
 }
@@ -161,7 +161,7 @@
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
 		"limits": "firstToken = \"300ms\"\nbetweenTokens = \"300ms\"\nretryRatio = 1.0\n",
 	}})
-	f.Engine("engine-01").Set(engine.Faults{Frozen: true})
+	f.Engine("engine-01").SetFaults(engine.Faults{Frozen: true})
 	for i := range 8 {
 		text := fmt.Sprintf("frozen %d #10", i)
 		assert.Equal(t, complete(t, f, text), want(text))
@@ -176,7 +176,7 @@
 	}})
 	leaving := f.Routers()[0]
 	all := startStreams(t, f, 1, 400)
-	waitFor(t, "the stream runs", func() bool { return f.Engine("engine-01").Truth().Requests == 1 })
+	waitFor(t, "the stream runs", func() bool { return f.Engine("engine-01").ActualState().Requests == 1 })
 	stopped := make(chan error)
 	go func() { stopped <- f.StopRouter(t.Context(), leaving) }()
 	waitFor(t, "the router is not ready", func() bool {
@@ -202,7 +202,7 @@
 	waitFor(t, "all streams run", func() bool {
 		running := 0
 		for _, e := range f.Engines() {
-			running += e.Truth().Requests
+			running += e.ActualState().Requests
 		}
 		return running == 18
 	})
--- a/io/fleet/recovery_test.go
+++ b/io/fleet/recovery_test.go
@@ -101,17 +101,17 @@
 }
 
 func hangEngine(b *testing.B, f *fleet.Fleet) time.Duration {
-	f.Engine("engine-01").Set(engine.Faults{Hang: true})
+	f.Engine("engine-01").SetFaults(engine.Faults{Hang: true})
 	return waitForAll(b, f, engineHealthIs(health.Down))
 }
 
 func markEngineLeaving(b *testing.B, f *fleet.Fleet) time.Duration {
-	f.Engine("engine-01").Set(engine.Faults{Leaving: true})
+	f.Engine("engine-01").SetFaults(engine.Faults{Leaving: true})
 	return waitForAll(b, f, engineHealthIs(health.Leaving))
 }
 
 func publishWithSlowLog(b *testing.B, f *fleet.Fleet) time.Duration {
-	f.Log.Set(logservice.Faults{SlowMs: 20_000, SlowReaders: []string{"entry-1", "entry-2", "entry-3"}})
+	f.Log.SetFaults(logservice.Faults{DelayMs: 20_000, SlowReaders: []string{"entry-1", "entry-2", "entry-3"}})
 	// The long polls that are already pending return at once; only the reads after them are slow.
 	f.Publish(b.Context(), addModelNote("second", "first", "sur-small"))
 	waitForAll(b, f, func(s operator.Status) bool { return s.Release.Note == "second" })
--- a/io/loadtest/requests.go
+++ b/io/loadtest/requests.go
@@ -36,12 +36,12 @@
 // complete, schedules the chat's next turn.
 func (r *Run) runTurn(ctx context.Context, c *chat) {
 	messages := encodeMessages(c.messages)
-	prompt, knowable := r.idealCache.Ask(messages)
+	prompt, knowable := r.idealCache.LookUp(messages)
 	began := time.Now()
 	result, err := r.requestCompletion(context.WithoutCancel(ctx), c, messages)
 	took := time.Since(began)
 	if result.complete {
-		r.idealCache.Keep(encodeMessages(append(c.messages, message{Role: "assistant", Content: result.text})))
+		r.idealCache.Add(encodeMessages(append(c.messages, message{Role: "assistant", Content: result.text})))
 	}
 	r.recordTurn(c, result, err, prompt, knowable, took, messages)
 	if !result.complete {
@@ -130,7 +130,7 @@
 }
 
 func (r *Run) recordTurn(c *chat, result completion, err error, prompt, knowable int, took time.Duration, messages []byte) {
-	incorrect := result.complete && result.text != engine.Answer(messages)
+	incorrect := result.complete && result.text != engine.ExpectedAnswer(messages)
 	st := r.stats
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/io/loadtest/run.go
+++ b/io/loadtest/run.go
@@ -24,7 +24,7 @@
 	policy           string
 	extraSettings    map[string]string
 	fleet            *fleet.Fleet
-	idealCache       *engine.Shadow
+	idealCache       *engine.ReferenceCache
 	client           *http.Client
 	stats            *stats
 	mu               sync.Mutex
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.idealCache = engine.NewShadow(r.plan.Engine.CacheTokens * r.plan.Fleet.Engines)
+	r.idealCache = engine.NewReferenceCache(r.plan.Engine.CacheTokens * r.plan.Fleet.Engines)
 	r.started = time.Now()
 	r.drive(ctx)
 	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
@@ -72,8 +72,8 @@
 		Routers: r.plan.Fleet.Routers, Engines: r.plan.Fleet.Engines, Services: r.plan.Fleet.Services,
 		FailureDomains: r.plan.Fleet.FailureDomains,
 		Engine: engine.Options{
-			Step: e.StepTime, TokensPerStep: e.TokensPerStep, Batch: e.BatchSize, PrefillTokens: e.PrefillTokens,
-			CacheTokens: e.CacheTokens, ReportLag: e.ReportLag,
+			StepInterval: e.StepTime, TokensPerStep: e.TokensPerStep, BatchSize: e.BatchSize, PrefillTokensPerStep: e.PrefillTokens,
+			CacheCapacityTokens: e.CacheTokens, ReportLag: e.ReportLag,
 		},
 		ExtraSettings: map[string]string{
 			"callers": "lameDuck = \"0s\"\n",
@@ -143,9 +143,9 @@
 			if !r.sleepUntil(ctx, o.At) {
 				return
 			}
-			r.fleet.Log.Set(logservice.Faults{Down: true})
+			r.fleet.Log.SetFaults(logservice.Faults{Down: true})
 			r.sleepUntil(ctx, o.At+o.Duration)
-			r.fleet.Log.Set(logservice.Faults{})
+			r.fleet.Log.SetFaults(logservice.Faults{})
 		})
 	}
 	all.Wait()
@@ -169,11 +169,11 @@
 	case loadplan.ActionKill:
 		r.fleet.KillEngine(name)
 		r.setExcluded(name, true)
-		r.idealCache.Lose(share, random)
+		r.idealCache.EvictShare(share, random)
 	case loadplan.ActionLeave:
-		r.fleet.Engine(name).Set(engine.Faults{Leaving: true})
+		r.fleet.Engine(name).SetFaults(engine.Faults{Leaving: true})
 		r.setExcluded(name, true)
-		r.idealCache.Lose(share, random)
+		r.idealCache.EvictShare(share, random)
 	case loadplan.ActionStart:
 		address := r.fleet.KillEngine(name)
 		if r.fleet.StartEngine(ctx, name, address) == nil {
@@ -194,7 +194,7 @@
 
 func (r *Run) countDuplicates(report *Report) {
 	for _, s := range r.fleet.Services() {
-		for key, n := range s.Ran() {
+		for key, n := range s.RunCounts() {
 			if key != "" && n > 1 {
 				report.DuplicatesRun++
 			}
--- a/io/loadtest/sample.go
+++ b/io/loadtest/sample.go
@@ -59,7 +59,7 @@
 		if _, skip := r.excluded[name]; skip {
 			continue
 		}
-		t := e.Truth()
+		t := e.ActualState()
 		w.requests[name] += float64(t.Requests)
 		w.tokens[name] += float64(t.Outstanding)
 	}
--- a/io/standin/engine/batch.go
+++ b/io/standin/engine/batch.go
@@ -47,7 +47,7 @@
 	e.waiting = withoutDone(e.waiting)
 	all := slices.Concat(e.running, e.waiting)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].priority < all[j].priority })
-	n := min(len(all), e.opts.Batch)
+	n := min(len(all), e.opts.BatchSize)
 	e.running = append([]*sequence{}, all[:n]...)
 	e.waiting = append([]*sequence{}, all[n:]...)
 }
@@ -62,7 +62,7 @@
 }
 
 func (e *Engine) runBatch() {
-	budget := e.opts.PrefillTokens
+	budget := e.opts.PrefillTokensPerStep
 	for _, s := range e.running {
 		if s.prefillLeft > 0 {
 			spent := min(s.prefillLeft, budget)
--- a/io/standin/engine/completions.go
+++ b/io/standin/engine/completions.go
@@ -14,7 +14,7 @@
 
 	"savoryfall/core/header"
 	"savoryfall/core/outcome"
-	"savoryfall/io/standin/wire"
+	"savoryfall/io/standin/httpjson"
 )
 
 type message struct {
@@ -144,8 +144,8 @@
 	return fmt.Sprintf(" w%04x", xxhash.Sum64String(fmt.Sprint(seed, n))&0xffff)
 }
 
-// Answer returns the complete text that any engine generates for the messages if no fault occurs.
-func Answer(messagesJSON []byte) (text string) {
+// ExpectedAnswer returns the complete text that any engine generates for the messages if no fault occurs.
+func ExpectedAnswer(messagesJSON []byte) (text string) {
 	var messages []message
 	if json.Unmarshal(messagesJSON, &messages) != nil || len(messages) == 0 {
 		return ""
@@ -222,7 +222,7 @@
 	c.Object = "chat.completion"
 	c.Choices = []choice{{Message: &delta{Role: "assistant", Content: text}, FinishReason: &stop}}
 	c.Usage = s.usage()
-	wire.WriteJSON(w, c)
+	httpjson.WriteJSON(w, c)
 }
 
 // generateAnswer collects the answer, and sends it event by event if the request asks for a stream.
@@ -312,7 +312,7 @@
 	var change struct {
 		Priority int `json:"priority"`
 	}
-	if !wire.ReadJSON(w, r, &change) {
+	if !httpjson.ReadJSON(w, r, &change) {
 		return
 	}
 	e.forAttempt(mux.Vars(r)["attempt"], func(s *sequence) { s.priority = change.Priority })
@@ -343,9 +343,9 @@
 		r.Loaded = append(r.Loaded, m)
 	}
 	e.mu.Unlock()
-	wire.WriteJSON(w, r)
+	httpjson.WriteJSON(w, r)
 }
 
 func (e *Engine) handleTruth(w http.ResponseWriter, _ *http.Request) {
-	wire.WriteJSON(w, e.Truth())
+	httpjson.WriteJSON(w, e.ActualState())
 }
--- a/io/standin/engine/engine.go
+++ b/io/standin/engine/engine.go
@@ -15,16 +15,16 @@
 
 // Options configure an engine; a zero field means its default.
 type Options struct {
-	Name          string
-	Models        []string
-	Step          time.Duration
-	TokensPerStep int
-	Batch         int
-	PrefillTokens int
-	CacheTokens   int
-	ReportLag     time.Duration
-	ChecksFence   bool
-	WeightStore   string
+	Name                 string
+	Models               []string
+	StepInterval         time.Duration
+	TokensPerStep        int
+	BatchSize            int
+	PrefillTokensPerStep int
+	CacheCapacityTokens  int
+	ReportLag            time.Duration
+	ChecksFence          bool
+	WeightStoreURL       string
 }
 
 const (
@@ -65,7 +65,7 @@
 func New(o Options) *Engine {
 	o = withDefaults(o)
 	e := &Engine{opts: o, incarnation: uuid.NewString()[:8], loaded: map[string]bool{}, busy: make(chan struct{}, 1)}
-	e.cache = newPrefixCache(o.CacheTokens)
+	e.cache = newPrefixCache(o.CacheCapacityTokens)
 	e.events = &eventLog{}
 	for _, m := range o.Models {
 		e.loaded[m] = true
@@ -74,20 +74,20 @@
 }
 
 func withDefaults(o Options) Options {
-	if o.Step == 0 {
-		o.Step = defaultStep
+	if o.StepInterval == 0 {
+		o.StepInterval = defaultStep
 	}
 	if o.TokensPerStep == 0 {
 		o.TokensPerStep = defaultTokensPerStep
 	}
-	if o.Batch == 0 {
-		o.Batch = defaultBatch
+	if o.BatchSize == 0 {
+		o.BatchSize = defaultBatch
 	}
-	if o.PrefillTokens == 0 {
-		o.PrefillTokens = defaultPrefillTokens
+	if o.PrefillTokensPerStep == 0 {
+		o.PrefillTokensPerStep = defaultPrefillTokens
 	}
-	if o.CacheTokens == 0 {
-		o.CacheTokens = defaultCacheTokens
+	if o.CacheCapacityTokens == 0 {
+		o.CacheCapacityTokens = defaultCacheTokens
 	}
 	if o.ReportLag == 0 {
 		o.ReportLag = defaultReportLag
@@ -113,11 +113,11 @@
 
 // Run advances the batch once per step until the context ends.
 func (e *Engine) Run(ctx context.Context) {
-	background.Every(ctx, e.opts.Step, e.step)
+	background.Every(ctx, e.opts.StepInterval, e.step)
 }
 
-// Truth is the engine's actual state without the lag of its reports; only tests and load runs read it, never routers.
-type Truth struct {
+// ActualState is the engine's actual state without the lag of its reports; only tests and load runs read it, never routers.
+type ActualState struct {
 	Name         string `json:"name"`
 	Incarnation  string `json:"incarnation"`
 	Requests     int    `json:"requests"`
@@ -127,11 +127,11 @@
 	CachedTokens int64  `json:"cachedTokens"`
 }
 
-// Truth returns the current state, including the number of tokens that still have to be processed or generated.
-func (e *Engine) Truth() (t Truth) {
+// ActualState returns the current state, including the number of tokens that still have to be processed or generated.
+func (e *Engine) ActualState() (t ActualState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	t = Truth{
+	t = ActualState{
 		Name: e.opts.Name, Incarnation: e.incarnation, Served: e.served,
 		PromptTokens: e.promptTokens, CachedTokens: e.cachedTokens,
 	}
--- a/io/standin/engine/events.go
+++ b/io/standin/engine/events.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"savoryfall/io/standin/wire"
+	"savoryfall/io/standin/httpjson"
 )
 
 const (
@@ -55,5 +55,5 @@
 		}
 	}
 	e.mu.Unlock()
-	wire.WriteJSON(w, map[string]any{"incarnation": e.incarnation, "events": events})
+	httpjson.WriteJSON(w, map[string]any{"incarnation": e.incarnation, "events": events})
 }
--- a/io/standin/engine/faults.go
+++ b/io/standin/engine/faults.go
@@ -3,28 +3,28 @@
 import (
 	"net/http"
 
-	"savoryfall/io/standin/wire"
+	"savoryfall/io/standin/httpjson"
 )
 
 // Faults are the faults to inject; the zero value injects none. Fields that end in Next count down: each affects that
-// many requests. DieNext and TruncateNext take effect after DieAfterTokens tokens.
+// many requests. AbortNext and TruncateNext take effect after StopAfterTokens tokens.
 type Faults struct {
-	Frozen         bool    `json:"frozen"`
-	Hang           bool    `json:"hang"`
-	Leaving        bool    `json:"leaving"`
-	Refuse         bool    `json:"refuse"`
-	EventGap       float64 `json:"eventGap"`
-	LateMs         int     `json:"lateMs"`
-	CrossNext      int     `json:"crossNext"`
-	DieAfterTokens int     `json:"dieAfterTokens"`
-	DieNext        int     `json:"dieNext"`
-	TruncateNext   int     `json:"truncateNext"`
-	FailNext       int     `json:"failNext"`
-	DropNext       int     `json:"dropNext"`
+	Frozen           bool    `json:"frozen"`
+	Hang             bool    `json:"hang"`
+	Leaving          bool    `json:"leaving"`
+	Refuse           bool    `json:"refuse"`
+	EventGap         float64 `json:"eventGap"`
+	DelayMs          int     `json:"lateMs"`
+	WrongAttemptNext int     `json:"crossNext"`
+	StopAfterTokens  int     `json:"dieAfterTokens"`
+	AbortNext        int     `json:"dieNext"`
+	TruncateNext     int     `json:"truncateNext"`
+	FailNext         int     `json:"failNext"`
+	DropNext         int     `json:"dropNext"`
 }
 
-// Set replaces the injected faults.
-func (e *Engine) Set(f Faults) {
+// SetFaults replaces the injected faults.
+func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
@@ -32,10 +32,10 @@
 
 func (e *Engine) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.ReadJSON(w, r, &f) {
+	if !httpjson.ReadJSON(w, r, &f) {
 		return
 	}
-	e.Set(f)
+	e.SetFaults(f)
 }
 
 // requestFaults are the faults that affect one request.
@@ -49,10 +49,10 @@
 	defer e.mu.Unlock()
 	f := &e.faults
 	active.refuse = f.Refuse || f.Leaving
-	active.delayMs = f.LateMs
-	active.stopAfterTokens = f.DieAfterTokens
-	active.wrongAttempt = decrement(&f.CrossNext)
-	active.abort = decrement(&f.DieNext)
+	active.delayMs = f.DelayMs
+	active.stopAfterTokens = f.StopAfterTokens
+	active.wrongAttempt = decrement(&f.WrongAttemptNext)
+	active.abort = decrement(&f.AbortNext)
 	active.truncate = decrement(&f.TruncateNext)
 	active.fail = decrement(&f.FailNext)
 	active.drop = decrement(&f.DropNext)
--- a/io/standin/engine/orders.go
+++ b/io/standin/engine/orders.go
@@ -11,7 +11,7 @@
 
 	"savoryfall/core/header"
 	"savoryfall/core/outcome"
-	"savoryfall/io/standin/wire"
+	"savoryfall/io/standin/httpjson"
 )
 
 // Order tells the engine which models to load. It is a complete desired state rather than a change, so that a delayed
@@ -25,7 +25,7 @@
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
-	if !wire.ReadJSON(w, r, &o) {
+	if !httpjson.ReadJSON(w, r, &o) {
 		return
 	}
 	if e.isStale(o) {
@@ -55,10 +55,10 @@
 }
 
 func (e *Engine) fetchWeights(r *http.Request, m string) bool {
-	if e.opts.WeightStore == "" {
+	if e.opts.WeightStoreURL == "" {
 		return true
 	}
-	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, e.opts.WeightStore+"/v1/weights/"+m, nil)
+	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, e.opts.WeightStoreURL+"/v1/weights/"+m, nil)
 	if err != nil {
 		return false
 	}
--- a/io/standin/engine/shadow.go
+++ b/io/standin/engine/shadow.go
@@ -6,18 +6,20 @@
 	"sync"
 )
 
-// Shadow is a reference cache with the capacity of all engines together. It shows how many tokens would be found by a
+// ReferenceCache is a reference cache with the capacity of all engines together. It shows how many tokens would be found by a
 // router that knows every cache and always chooses the endpoint that holds the prefix.
-type Shadow struct {
+type ReferenceCache struct {
 	mu    sync.Mutex
 	cache *prefixCache
 }
 
-// NewShadow returns an empty reference cache with a capacity in tokens.
-func NewShadow(tokens int) *Shadow { return &Shadow{cache: newPrefixCache(tokens)} }
+// NewReferenceCache returns an empty reference cache with a capacity in tokens.
+func NewReferenceCache(tokens int) *ReferenceCache {
+	return &ReferenceCache{cache: newPrefixCache(tokens)}
+}
 
-// Ask returns the number of tokens in the prompt and how many of them were cached, and then caches the prompt.
-func (s *Shadow) Ask(messages []byte) (prompt, found int) {
+// LookUp returns the number of tokens in the prompt and how many of them were cached, and then caches the prompt.
+func (s *ReferenceCache) LookUp(messages []byte) (prompt, found int) {
 	var parsed []message
 	if json.Unmarshal(messages, &parsed) != nil {
 		return 0, 0
@@ -30,8 +32,8 @@
 	return totalTokens(prefixes), found
 }
 
-// Keep caches a prompt together with its answer.
-func (s *Shadow) Keep(messages []byte) {
+// Add caches a prompt together with its answer.
+func (s *ReferenceCache) Add(messages []byte) {
 	var parsed []message
 	if json.Unmarshal(messages, &parsed) != nil {
 		return
@@ -41,8 +43,8 @@
 	s.cache.add(promptPrefixes(parsed))
 }
 
-// Lose evicts each prefix with the given probability, to simulate the loss of some of the engines.
-func (s *Shadow) Lose(share float64, random *rand.Rand) {
+// EvictShare evicts each prefix with the given probability, to simulate the loss of some of the engines.
+func (s *ReferenceCache) EvictShare(share float64, random *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for e := s.cache.recency.Front(); e != nil; {
--- a/io/standin/wire/wire.go
+++ b/io/standin/httpjson/wire.go
@@ -1,4 +1,4 @@
-package wire
+package httpjson
 
 import (
 	"encoding/json"
--- a/io/standin/logservice/service.go
+++ b/io/standin/logservice/service.go
@@ -14,7 +14,7 @@
 
 	"savoryfall/core/header"
 	"savoryfall/io/platformlog"
-	"savoryfall/io/standin/wire"
+	"savoryfall/io/standin/httpjson"
 )
 
 const (
@@ -24,13 +24,13 @@
 )
 
 // Faults are the faults to inject; the zero value injects none. PUT /faults replaces them while the service runs.
-// SlowMs delays only the VMs in SlowReaders if there are any, and LoseAnswers is the number of appends that are stored
+// DelayMs delays only the VMs in SlowReaders if there are any, and DropAnswers is the number of appends that are stored
 // but whose answers are dropped.
 type Faults struct {
 	Down        bool     `json:"down"`
-	SlowMs      int      `json:"slowMs"`
+	DelayMs     int      `json:"slowMs"`
 	SlowReaders []string `json:"slowReaders"`
-	LoseAnswers int      `json:"loseAnswers"`
+	DropAnswers int      `json:"loseAnswers"`
 }
 
 // Service keeps the streams in memory.
@@ -75,8 +75,8 @@
 	return m
 }
 
-// Set replaces the injected faults.
-func (s *Service) Set(f Faults) {
+// SetFaults replaces the injected faults.
+func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -91,10 +91,10 @@
 
 func (s *Service) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.ReadJSON(w, r, &f) {
+	if !httpjson.ReadJSON(w, r, &f) {
 		return
 	}
-	s.Set(f)
+	s.SetFaults(f)
 }
 
 // applyFaults applies the faults that affect every call, and returns whether to process the call.
@@ -110,7 +110,7 @@
 		return true
 	}
 	select {
-	case <-time.After(time.Duration(f.SlowMs) * time.Millisecond):
+	case <-time.After(time.Duration(f.DelayMs) * time.Millisecond):
 		return true
 	case <-r.Context().Done():
 		return false
@@ -134,7 +134,7 @@
 	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	wire.WriteJSON(w, map[string]int64{"offset": offset})
+	httpjson.WriteJSON(w, map[string]int64{"offset": offset})
 }
 
 func (s *Service) appendRecord(name string, data []byte) (offset int64, dropAnswer bool) {
@@ -146,8 +146,8 @@
 	close(st.changed)
 	st.changed = make(chan struct{})
 	s.appended++
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.DropAnswers > 0 {
+		s.faults.DropAnswers--
 		return offset, true
 	}
 	return offset, false
@@ -190,7 +190,7 @@
 	for {
 		page, changed := s.page(mux.Vars(r)["stream"], from, limit)
 		if len(page.Records) > 0 || waitMs == 0 || from < page.First {
-			wire.WriteJSON(w, page)
+			httpjson.WriteJSON(w, page)
 			return
 		}
 		select {
--- a/io/standin/plainservice/service.go
+++ b/io/standin/plainservice/service.go
@@ -12,20 +12,20 @@
 
 	"savoryfall/core/header"
 	"savoryfall/core/outcome"
-	"savoryfall/io/standin/wire"
+	"savoryfall/io/standin/httpjson"
 )
 
-// Faults are the faults to inject; the zero value injects none. DropBefore, DropAfter, ShortAnswer, CrossNext and
-// DropMiddle count down: each affects that many calls.
+// Faults are the faults to inject; the zero value injects none. DropBefore, DropAfter, TruncateAnswers, WrongAttemptNext and
+// DropMidAnswer count down: each affects that many calls.
 type Faults struct {
-	Refuse      bool `json:"refuse"`
-	Leaving     bool `json:"leaving"`
-	LateMs      int  `json:"lateMs"`
-	DropBefore  int  `json:"dropBefore"`
-	DropAfter   int  `json:"dropAfter"`
-	ShortAnswer int  `json:"shortAnswer"`
-	CrossNext   int  `json:"crossNext"`
-	DropMiddle  int  `json:"dropMiddle"`
+	Refuse           bool `json:"refuse"`
+	Leaving          bool `json:"leaving"`
+	DelayMs          int  `json:"lateMs"`
+	DropBefore       int  `json:"dropBefore"`
+	DropAfter        int  `json:"dropAfter"`
+	TruncateAnswers  int  `json:"shortAnswer"`
+	WrongAttemptNext int  `json:"crossNext"`
+	DropMidAnswer    int  `json:"dropMiddle"`
 }
 
 // Service counts each call under its idempotency key and echoes the request.
@@ -53,15 +53,15 @@
 	return m
 }
 
-// Ran returns how often each idempotency key ran; calls without a key count under the empty key.
-func (s *Service) Ran() map[string]int {
+// RunCounts returns how often each idempotency key ran; calls without a key count under the empty key.
+func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Set replaces the injected faults.
-func (s *Service) Set(f Faults) {
+// SetFaults replaces the injected faults.
+func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -77,12 +77,12 @@
 	defer s.mu.Unlock()
 	f := &s.faults
 	active.refuse = f.Refuse || f.Leaving
-	active.delay = time.Duration(f.LateMs) * time.Millisecond
+	active.delay = time.Duration(f.DelayMs) * time.Millisecond
 	active.dropBefore = decrement(&f.DropBefore)
 	active.dropAfter = decrement(&f.DropAfter)
-	active.shortAnswer = decrement(&f.ShortAnswer)
-	active.wrongAttempt = decrement(&f.CrossNext)
-	active.dropMiddle = decrement(&f.DropMiddle)
+	active.shortAnswer = decrement(&f.TruncateAnswers)
+	active.wrongAttempt = decrement(&f.WrongAttemptNext)
+	active.dropMiddle = decrement(&f.DropMidAnswer)
 	return active
 }
 
@@ -152,19 +152,19 @@
 }
 
 func (s *Service) handleRan(w http.ResponseWriter, _ *http.Request) {
-	wire.WriteJSON(w, s.Ran())
+	httpjson.WriteJSON(w, s.RunCounts())
 }
 
 func (s *Service) handleReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wire.WriteJSON(w, map[string]any{"incarnation": s.incarnation, "running": s.active, "leaving": s.faults.Leaving})
+	httpjson.WriteJSON(w, map[string]any{"incarnation": s.incarnation, "running": s.active, "leaving": s.faults.Leaving})
 }
 
 func (s *Service) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.ReadJSON(w, r, &f) {
+	if !httpjson.ReadJSON(w, r, &f) {
 		return
 	}
-	s.Set(f)
+	s.SetFaults(f)
 }
--- a/io/standin/vmservice/service.go
+++ b/io/standin/vmservice/service.go
@@ -10,7 +10,7 @@
 
 	"github.com/gorilla/mux"
 
-	"savoryfall/io/standin/wire"
+	"savoryfall/io/standin/httpjson"
 	"savoryfall/io/vmlist"
 )
 
@@ -44,8 +44,8 @@
 	return m
 }
 
-// Set replaces the injected faults.
-func (s *Service) Set(f Faults) {
+// SetFaults replaces the injected faults.
+func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -111,12 +111,12 @@
 	for _, name := range slices.Sorted(maps.Keys(v.vms)) {
 		vms = append(vms, v.vms[name])
 	}
-	wire.WriteJSON(w, vms)
+	httpjson.WriteJSON(w, vms)
 }
 
 func (s *Service) handlePut(w http.ResponseWriter, r *http.Request) {
 	var vm vmlist.VM
-	if !wire.ReadJSON(w, r, &vm) {
+	if !httpjson.ReadJSON(w, r, &vm) {
 		return
 	}
 	vm.Name = mux.Vars(r)["name"]
@@ -129,8 +129,8 @@
 
 func (s *Service) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !wire.ReadJSON(w, r, &f) {
+	if !httpjson.ReadJSON(w, r, &f) {
 		return
 	}
-	s.Set(f)
+	s.SetFaults(f)
 }
