--- a/io/caller/body.go
+++ b/io/caller/body.go
@@ -91,7 +91,7 @@
 }
 
 // startResponse fixes the deadline when the response starts, which may be before the body has been read: net/http then
-// reads the rest, or waits for whoever is reading it, before it sends the response.
+// reads the rest, or waits until another reader has, before it sends the response.
 func (b *requestBody) startResponse() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/io/caller/chathandler.go
+++ b/io/caller/chathandler.go
@@ -17,8 +17,8 @@
 	"savoryfall/io/endpoint"
 )
 
-func (f *Server) completions(w http.ResponseWriter, r *http.Request) {
-	x := f.newExchange(w, r)
+func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
+	x := s.newExchange(w, r)
 	defer x.end()
 	c, p := x.readChat()
 	if p != nil {
@@ -64,8 +64,8 @@
 	if cookie, err := x.r.Cookie(ticketCookie); err == nil && sealed == "" {
 		sealed = cookie.Value
 	}
-	name, incarnation, ok := x.front.Tickets.Verify(sealed)
-	if !ok || x.front.Health.Incarnation(name) != incarnation {
+	name, incarnation, ok := x.server.Tickets.Verify(sealed)
+	if !ok || x.server.Health.Incarnation(name) != incarnation {
 		return ""
 	}
 	return name
@@ -74,7 +74,7 @@
 const ticketCookie = "savoryfallTicket"
 
 func (x *exchange) setTicket(endpointName string) {
-	sealed := x.front.Tickets.Sign(endpointName, x.front.Health.Incarnation(endpointName))
+	sealed := x.server.Tickets.Sign(endpointName, x.server.Health.Incarnation(endpointName))
 	if sealed == "" {
 		return
 	}
@@ -84,9 +84,9 @@
 
 // place selects an endpoint and records the reasons.
 func (x *exchange) place(q ledger.Query) (a *decision.Attempt, choice ledger.Choice, ok bool) {
-	_, span := x.front.Tracer.Start(x.ctx, "place")
+	_, span := x.server.Tracer.Start(x.ctx, "place")
 	defer span.End()
-	choice = x.front.Ledger.Choose(x.front.Policy, q)
+	choice = x.server.Ledger.Choose(x.server.Policy, q)
 	span.SetAttributes(attribute.String("endpoint", choice.Endpoint), attribute.String("reason", string(choice.Reason)))
 	x.decision.Attempts = append(x.decision.Attempts, decision.Attempt{
 		ID: uuid.NewString(), Endpoint: choice.Endpoint, Reason: string(choice.Reason), Requests: choice.Requests,
@@ -139,11 +139,11 @@
 			reached++
 		}
 	}
-	limits := x.front.Limits
+	limits := x.server.Limits
 	if tries >= maxTries || reached >= limits.Attempts() || excluded < tries || x.ctx.Err() != nil {
 		return false
 	}
-	return p.unreached || x.front.Retries.Allow(pool)
+	return p.unreached || x.server.Retries.Allow(pool)
 }
 
 func (x *exchange) countPrompt(resp *http.Response) {
@@ -152,6 +152,6 @@
 		return
 	}
 	cached, _ := strconv.Atoi(resp.Header.Get(header.CachedTokens))
-	x.front.requestMetrics.promptTokens.Add(prompt)
-	x.front.requestMetrics.cachedTokens.Add(cached)
+	x.server.requestMetrics.promptTokens.Add(prompt)
+	x.server.requestMetrics.cachedTokens.Add(cached)
 }
--- a/io/caller/completion.go
+++ b/io/caller/completion.go
@@ -57,7 +57,7 @@
 	a := &completion{x: x, chat: c, pool: pool, class: x.account.Name() + "/" + c.Model()}
 	a.key = c.Key(x.account.Name(), x.r.Header.Get(header.Chat))
 	if c.Returning() {
-		a.cacheValue = x.front.CacheValue.Observe(pool, len(c.Body()))
+		a.cacheValue = x.server.CacheValue.Observe(pool, len(c.Body()))
 	}
 	x.decision.Key = fmt.Sprintf("%016x", a.key)
 	return a
@@ -66,10 +66,10 @@
 // run tries engines until the response is complete or the request has to be given up. A completion may be repeated,
 // because it has no side effects.
 func (a *completion) run() {
-	a.x.front.Retries.RecordFirst(a.pool)
-	warm := a.warmEndpoint()
+	a.x.server.Retries.RecordFirst(a.pool)
+	warmEndpoint := a.warmEndpoint()
 	for {
-		p := a.attempt(warm)
+		p := a.attempt(warmEndpoint)
 		if p == nil {
 			return
 		}
@@ -77,37 +77,37 @@
 			a.reportFailure(p)
 			return
 		}
-		a.x.front.requestMetrics.retries.Inc()
+		a.x.server.requestMetrics.retries.Inc()
 	}
 }
 
 // warmEndpoint returns the endpoint that has the chat in its cache according to the client's ticket or, without a
-// ticket, according to the spills that this router and its peers have recorded.
+// ticket, according to the overflow entries of this router and its peers.
 func (a *completion) warmEndpoint() string {
-	f := a.x.front
+	s := a.x.server
 	if name := a.x.endpointFromTicket(); name != "" {
 		return name
 	}
 	if !a.chat.Returning() {
 		return ""
 	}
-	spilled, ok := f.Spills.Find(a.key)
+	overflowed, ok := s.Spills.Find(a.key)
 	if !ok {
 		return ""
 	}
-	return f.Ledger.FindByHash(func(hash uint64) bool { return overflow.Matches(spilled, hash) })
+	return s.Ledger.FindByHash(func(hash uint64) bool { return overflow.Matches(overflowed, hash) })
 }
 
-// announceSpill tells the other routers which endpoint has the chat in its cache, unless they would choose it anyway,
-// because it ranks first and no other endpoint was announced.
-func (a *completion) announceSpill(c ledger.Choice, warm string) {
-	f := a.x.front
-	_, announced := f.Spills.Find(a.key)
+// announceOverflow tells the other routers which endpoint has the chat in its cache, unless they would choose it
+// anyway, because it ranks first and no other endpoint was announced.
+func (a *completion) announceOverflow(c ledger.Choice, warmEndpoint string) {
+	s := a.x.server
+	_, announced := s.Spills.Find(a.key)
 	if c.HighestRanked && !announced {
 		return
 	}
-	if c.Endpoint != warm || !a.chat.Returning() {
-		f.Spills.Add(a.key, c.Hash, time.Now())
+	if c.Endpoint != warmEndpoint || !a.chat.Returning() {
+		s.Spills.Add(a.key, c.Hash, time.Now())
 	}
 }
 
@@ -124,11 +124,11 @@
 	_ = http.NewResponseController(x.w).Flush()
 }
 
-func (a *completion) attempt(warm string) (p *problem) {
-	f := a.x.front
-	expected := f.Tokens.Remaining(a.class, a.generatedTokens)
+func (a *completion) attempt(warmEndpoint string) (p *problem) {
+	s := a.x.server
+	expected := s.Tokens.Remaining(a.class, a.generatedTokens)
 	at, choice, ok := a.x.place(ledger.Query{
-		Pool: a.pool, Key: a.key, WarmEndpoint: warm, Returning: a.chat.Returning(), CacheValue: a.cacheValue, Tokens: expected,
+		Pool: a.pool, Key: a.key, WarmEndpoint: warmEndpoint, Returning: a.chat.Returning(), CacheValue: a.cacheValue, Tokens: expected,
 		Exclude: a.excluded,
 	})
 	if !ok {
@@ -136,9 +136,9 @@
 		return unavailable("no endpoint of "+a.pool+" takes new work", a.outcomeSoFar())
 	}
 	a.excluded = append(a.excluded, at.Endpoint)
-	a.announceSpill(choice, warm)
-	f.requestMetrics.attempts.Inc()
-	flight := f.Ledger.StartRequest(at.Endpoint, expected)
+	a.announceOverflow(choice, warmEndpoint)
+	s.requestMetrics.attempts.Inc()
+	flight := s.Ledger.StartRequest(at.Endpoint, expected)
 	defer flight.End()
 	start := time.Now()
 	p = a.send(at, flight)
@@ -160,19 +160,19 @@
 }
 
 func (a *completion) send(at *decision.Attempt, flight *ledger.InFlight) (p *problem) {
-	x, f := a.x, a.x.front
+	x, s := a.x, a.x.server
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
-	ctx, span := f.Tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient),
+	ctx, span := s.Tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("endpoint", at.Endpoint), attribute.String("attempt", at.ID)))
 	defer span.End()
-	silence := time.AfterFunc(f.Limits.FirstToken(), func() { cancel(errEndpointSilent) })
+	silence := time.AfterFunc(s.Limits.FirstToken(), func() { cancel(errEndpointSilent) })
 	defer silence.Stop()
 	call, err := a.call(at)
 	if err != nil {
 		return endpointFailed(err.Error(), outcome.NotRun)
 	}
-	resp, err := f.Endpoints.Do(ctx, call)
+	resp, err := s.Endpoints.Do(ctx, call)
 	if err != nil {
 		return a.problemOf(ctx, err)
 	}
@@ -187,7 +187,7 @@
 func (a *completion) problemOf(ctx context.Context, err error) (p *problem) {
 	var mismatched endpoint.MismatchError
 	if errors.As(err, &mismatched) {
-		a.x.front.requestMetrics.mismatched.Inc()
+		a.x.server.requestMetrics.mismatched.Inc()
 	}
 	if cause := context.Cause(ctx); errors.Is(cause, errEndpointSilent) {
 		err = fmt.Errorf("%w: %w", cause, err)
@@ -204,7 +204,7 @@
 	body := a.chat.Body()
 	if a.content.Len() > 0 {
 		body, err = a.chat.ResumeBody(a.content.String())
-		a.x.front.requestMetrics.resumed.Inc()
+		a.x.server.requestMetrics.resumed.Inc()
 	}
 	h := http.Header{}
 	h.Set("Content-Type", "application/json")
@@ -242,7 +242,7 @@
 	x.w.WriteHeader(resp.StatusCode)
 	_, _ = x.w.Write(body)
 	x.reported(resp.StatusCode, outcome.Ran, "")
-	x.front.Tokens.Observe(a.class, len(body)/bytesPerToken)
+	x.server.Tokens.Observe(a.class, len(body)/bytesPerToken)
 	return nil
 }
 
@@ -258,9 +258,9 @@
 	}
 	x := a.x
 	x.firstByteAfter = time.Since(x.startedAt)
-	x.front.requestMetrics.firstToken.Update(x.firstByteAfter.Seconds())
+	x.server.requestMetrics.firstToken.Update(x.firstByteAfter.Seconds())
 	x.setTicket(at.Endpoint)
-	x.front.setConnectionClose(x.w.Header())
+	x.server.setConnectionClose(x.w.Header())
 	x.w.Header().Set("Content-Type", contentType)
 	x.w.Header().Set(header.Outcome, string(outcome.Ran))
 }
@@ -286,7 +286,7 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(a.x.front.Limits.BetweenTokens())
+		silence.Reset(a.x.server.Limits.BetweenTokens())
 		if ev.Data == doneMarker {
 			return a.finish(controller)
 		}
@@ -339,7 +339,7 @@
 func (a *completion) updateExpectedTokens(flight *ledger.InFlight) {
 	generatedTokens := a.content.Len() / bytesPerToken
 	if generatedTokens/estimateInterval != a.generatedTokens/estimateInterval {
-		flight.SetExpectedTokens(a.x.front.Tokens.Remaining(a.class, generatedTokens))
+		flight.SetExpectedTokens(a.x.server.Tokens.Remaining(a.class, generatedTokens))
 	}
 	a.generatedTokens = generatedTokens
 }
@@ -348,7 +348,7 @@
 	_, err = fmt.Fprintf(a.x.w, "data: %s\n\n", doneMarker)
 	_ = controller.Flush()
 	a.x.reported(http.StatusOK, outcome.Ran, "")
-	a.x.front.Tokens.Observe(a.class, a.generatedTokens)
+	a.x.server.Tokens.Observe(a.class, a.generatedTokens)
 	return err
 }
 
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -24,7 +24,7 @@
 
 // exchange is one client request, from its arrival to the last byte of its response.
 type exchange struct {
-	front          *Server
+	server         *Server
 	w              http.ResponseWriter
 	r              *http.Request
 	ctx            context.Context
@@ -40,14 +40,14 @@
 	abort          bool
 }
 
-func (f *Server) newExchange(w http.ResponseWriter, r *http.Request) (x *exchange) {
-	x = &exchange{front: f, w: w, r: r, requestID: uuid.NewString(), startedAt: time.Now(), config: f.Configuration.Current()}
+func (s *Server) newExchange(w http.ResponseWriter, r *http.Request) (x *exchange) {
+	x = &exchange{server: s, w: w, r: r, requestID: uuid.NewString(), startedAt: time.Now(), config: s.Configuration.Current()}
 	ctx := tracing.Propagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
-	ctx, x.span = f.Tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer),
+	ctx, x.span = s.Tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(attribute.String("request", x.requestID), attribute.String("path", r.URL.Path)))
-	x.ctx, x.cancel = context.WithTimeout(ctx, f.timeout(r))
+	x.ctx, x.cancel = context.WithTimeout(ctx, s.timeout(r))
 	x.decision = &decision.Decision{Request: x.requestID, At: x.startedAt}
-	x.body = newRequestBody(w, r, f.Callers.MaxBodyBytes(), f.Callers.BodyTimeout())
+	x.body = newRequestBody(w, r, s.Callers.MaxBodyBytes(), s.Callers.BodyTimeout())
 	w.Header().Set(header.Request, x.requestID)
 	return x
 }
@@ -56,13 +56,13 @@
 func (x *exchange) end() {
 	x.cancel()
 	x.body.end()
-	d, f := x.decision, x.front
+	d, s := x.decision, x.server
 	elapsed := time.Since(x.startedAt)
 	x.span.SetAttributes(attribute.Int("status", d.Status), attribute.String("outcome", string(d.Outcome)))
 	x.span.End()
-	f.Decisions.Add(d)
-	f.requestMetrics.observe(d.Status, d.Outcome, elapsed)
-	_ = f.Logger.Log("event", "request", "request", x.requestID, "account", d.Account, "pool", d.Pool,
+	s.Decisions.Add(d)
+	s.requestMetrics.observe(d.Status, d.Outcome, elapsed)
+	_ = s.Logger.Log("event", "request", "request", x.requestID, "account", d.Account, "pool", d.Pool,
 		"endpoint", lastEndpoint(d), "attempts", len(d.Attempts), "status", d.Status, "outcome", d.Outcome,
 		"firstMs", x.firstByteAfter.Milliseconds(), "ms", elapsed.Milliseconds(), "problem", d.Problem)
 	if x.abort {
@@ -80,7 +80,7 @@
 // fail responds to the client with the problem, without waiting for the rest of the request body.
 func (x *exchange) fail(p *problem) {
 	x.reported(p.status, p.outcome, p.message)
-	x.front.setConnectionClose(x.w.Header())
+	x.server.setConnectionClose(x.w.Header())
 	x.body.discard()
 	p.write(x.w, x.requestID)
 }
@@ -92,7 +92,7 @@
 
 // authenticate finds the client account by the digest of its bearer key.
 func (x *exchange) authenticate() (p *problem) {
-	if !x.front.Configuration.Ready() {
+	if !x.server.Configuration.Ready() {
 		return unavailable("this router has no configuration yet", outcome.NotRun)
 	}
 	key, found := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
@@ -131,10 +131,10 @@
 // admit waits until the admission queue admits the request.
 func (x *exchange) admit(pool string) (release func(), p *problem) {
 	x.decision.Pool = pool
-	ctx, span := x.front.Tracer.Start(x.ctx, "admission")
+	ctx, span := x.server.Tracer.Start(x.ctx, "admission")
 	defer span.End()
 	start := time.Now()
-	release, err := x.front.Admission.Acquire(ctx, x.account.Name(), x.account.Weight(), pool)
+	release, err := x.server.Admission.Acquire(ctx, x.account.Name(), x.account.Weight(), pool)
 	x.decision.WaitedMs = time.Since(start).Milliseconds()
 	if err == nil {
 		return release, nil
@@ -159,15 +159,15 @@
 // statusClientClosedRequest is never sent to a client; it appears only in the log.
 const statusClientClosedRequest = 499
 
-func (f *Server) models(w http.ResponseWriter, r *http.Request) {
-	x := f.newExchange(w, r)
+func (s *Server) models(w http.ResponseWriter, r *http.Request) {
+	x := s.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
 		x.fail(p)
 		return
 	}
 	x.reported(http.StatusOK, outcome.Ran, "")
-	f.setConnectionClose(w.Header())
+	s.setConnectionClose(w.Header())
 	x.body.discard()
 	writeModels(w, x.config.Models())
 }
--- a/io/caller/plainservice.go
+++ b/io/caller/plainservice.go
@@ -41,19 +41,19 @@
 }
 
 // plain handles a request to a plain service.
-func (f *Server) plain(w http.ResponseWriter, r *http.Request) {
-	x := f.newExchange(w, r)
+func (s *Server) plain(w http.ResponseWriter, r *http.Request) {
+	x := s.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
 		x.fail(p)
 		return
 	}
-	s, known := x.config.ServiceForPath(r.URL.Path)
+	service, known := x.config.ServiceForPath(r.URL.Path)
 	if !known {
 		x.fail(unknownPath(r.URL.Path))
 		return
 	}
-	c := &plainCall{x: x, pool: ledger.PoolOfService(s.Name()), repeatable: s.Repeatable(r.Method, r.URL.Path)}
+	c := &plainCall{x: x, pool: ledger.PoolOfService(service.Name()), repeatable: service.Repeatable(r.Method, r.URL.Path)}
 	release, p := x.admit(c.pool)
 	if p != nil {
 		x.fail(p)
@@ -103,14 +103,14 @@
 // attemptWithRetries makes attempts until one succeeds. Once the first byte was sent to an endpoint, only a repeatable
 // request is sent again.
 func (c *plainCall) attemptWithRetries(handle func(*http.Response) *problem) (p *problem) {
-	f := c.x.front
-	f.Retries.RecordFirst(c.pool)
+	s := c.x.server
+	s.Retries.RecordFirst(c.pool)
 	for {
 		p = c.attempt(handle)
 		if p == nil || !c.mayRetry(p) {
 			return p
 		}
-		f.requestMetrics.retries.Inc()
+		s.requestMetrics.retries.Inc()
 	}
 }
 
@@ -120,15 +120,15 @@
 }
 
 func (c *plainCall) attempt(handle func(*http.Response) *problem) (p *problem) {
-	x, f := c.x, c.x.front
+	x, s := c.x, c.x.server
 	at, _, ok := x.place(ledger.Query{Pool: c.pool, Key: xxhash.Sum64String(x.requestID), Tokens: 1, Exclude: c.excluded})
 	if !ok {
 		at.Outcome = outcome.NotRun
 		return unavailable("no endpoint of "+c.pool+" takes new work", outcome.NotRun)
 	}
 	c.excluded = append(c.excluded, at.Endpoint)
-	f.requestMetrics.attempts.Inc()
-	flight := f.Ledger.StartRequest(at.Endpoint, 1)
+	s.requestMetrics.attempts.Inc()
+	flight := s.Ledger.StartRequest(at.Endpoint, 1)
 	defer flight.End()
 	start := time.Now()
 	p = c.send(at, handle)
@@ -137,8 +137,8 @@
 }
 
 func (c *plainCall) send(at *decision.Attempt, handle func(*http.Response) *problem) (p *problem) {
-	x, f := c.x, c.x.front
-	ctx, span := f.Tracer.Start(x.ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient),
+	x, s := c.x, c.x.server
+	ctx, span := s.Tracer.Start(x.ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("endpoint", at.Endpoint), attribute.String("attempt", at.ID)))
 	defer span.End()
 	// If the process was paused after it had claimed the key, the claim may have expired. Other routers then consider
@@ -146,7 +146,7 @@
 	if c.grant != nil && c.grant.Expired(time.Now()) {
 		return unavailable("the claim lapsed before the call was sent", outcome.NotRun)
 	}
-	resp, err := f.Endpoints.Do(ctx, c.call(at))
+	resp, err := s.Endpoints.Do(ctx, c.call(at))
 	if err != nil {
 		return x.problemOf(err)
 	}
@@ -186,7 +186,7 @@
 }
 
 // forward streams a response to the client. If the response breaks off, the client's connection is aborted, so that
-// the client cannot mistake the part it received for the whole.
+// the client cannot mistake an incomplete response for a complete one.
 func (c *plainCall) forward(resp *http.Response) (p *problem) {
 	x := c.x
 	x.firstByteAfter = time.Since(x.startedAt)
@@ -200,7 +200,7 @@
 	}
 	h.Set(header.Request, x.requestID)
 	h.Set(header.Outcome, string(outcome.Ran))
-	x.front.setConnectionClose(h)
+	x.server.setConnectionClose(h)
 	x.w.WriteHeader(resp.StatusCode)
 	x.reported(resp.StatusCode, outcome.Ran, "")
 	err := copyFlushing(x.w, resp.Body)
@@ -242,8 +242,8 @@
 	x := c.x
 	sum := sha256.Sum256(append([]byte(x.r.Method+" "+x.r.URL.RequestURI()+"\x00"), c.buffered...))
 	created, _ := time.Parse(time.RFC3339, x.r.Header.Get(header.KeyCreated))
-	ctx, span := x.front.Tracer.Start(x.ctx, "claim")
-	g, err := x.front.Claims.Claim(ctx, claim.Request{
+	ctx, span := x.server.Tracer.Start(x.ctx, "claim")
+	g, err := x.server.Claims.Claim(ctx, claim.Request{
 		Account: x.account.Name(), Key: x.r.Header.Get(header.IdempotencyKey), Digest: hex.EncodeToString(sum[:digestBytes]),
 		Attempt: x.requestID, Created: created,
 	})
@@ -296,7 +296,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.x.ctx), settleTimeout)
 	defer cancel()
-	c.x.front.Claims.Settle(ctx, g, recorded)
+	c.x.server.Claims.Settle(ctx, g, recorded)
 	if p != nil {
 		c.x.fail(p)
 		return
@@ -311,7 +311,7 @@
 		x.w.Header().Set("Content-Type", result.ContentType)
 	}
 	x.w.Header().Set(header.Outcome, string(result.Outcome))
-	x.front.setConnectionClose(x.w.Header())
+	x.server.setConnectionClose(x.w.Header())
 	x.w.WriteHeader(result.Status)
 	_, _ = x.w.Write(result.Body)
 	x.firstByteAfter = time.Since(x.startedAt)
--- a/io/caller/front.go
+++ b/io/caller/server.go
@@ -47,7 +47,7 @@
 	Settle(ctx context.Context, g claim.Grant, result claim.Result)
 }
 
-// Config are the dependencies and settings of a Front.
+// Config are the dependencies and settings of a Server.
 type Config struct {
 	Configuration Configuration
 	Endpoints     Endpoints
@@ -76,55 +76,55 @@
 	requestMetrics requestMetrics
 }
 
-// New returns a front that uses the given parts.
-func New(p Config) *Server {
-	return &Server{Config: p, requestMetrics: newRequestMetrics(p.Metrics)}
+// New returns a server that uses the given dependencies and settings.
+func New(c Config) *Server {
+	return &Server{Config: c, requestMetrics: newRequestMetrics(c.Metrics)}
 }
 
 // Handler returns the HTTP handler; requests that match no route go to the plain services.
-func (f *Server) Handler() http.Handler {
+func (s *Server) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.SkipClean(true)
-	m.HandleFunc("/v1/chat/completions", f.completions).Methods(http.MethodPost)
-	m.HandleFunc("/v1/models", f.models).Methods(http.MethodGet)
-	m.HandleFunc("/healthz", f.healthz).Methods(http.MethodGet)
-	m.HandleFunc("/readyz", f.readyz).Methods(http.MethodGet)
-	m.PathPrefix("/").HandlerFunc(f.plain)
+	m.HandleFunc("/v1/chat/completions", s.completions).Methods(http.MethodPost)
+	m.HandleFunc("/v1/models", s.models).Methods(http.MethodGet)
+	m.HandleFunc("/healthz", s.healthz).Methods(http.MethodGet)
+	m.HandleFunc("/readyz", s.readyz).Methods(http.MethodGet)
+	m.PathPrefix("/").HandlerFunc(s.plain)
 	return m
 }
 
 // Drain makes the readiness check fail, so that the load balancer sends no more clients. Requests that still arrive
 // are served, and their clients are asked to close their connections.
-func (f *Server) Drain() { f.draining.Store(true) }
+func (s *Server) Drain() { s.draining.Store(true) }
 
 // Draining reports whether this router is stopping.
-func (f *Server) Draining() bool { return f.draining.Load() }
+func (s *Server) Draining() bool { return s.draining.Load() }
 
 // setConnectionClose asks the client to close its connection if this router is stopping. Otherwise the router would
 // close the connection, possibly while the client's next request is on its way.
-func (f *Server) setConnectionClose(h http.Header) {
-	if f.Draining() {
+func (s *Server) setConnectionClose(h http.Header) {
+	if s.Draining() {
 		h.Set("Connection", "close")
 	}
 }
 
 // discardBody prepares a response that doesn't need the request body.
-func (f *Server) discardBody(w http.ResponseWriter, r *http.Request) {
-	f.setConnectionClose(w.Header())
-	newRequestBody(w, r, f.Callers.MaxBodyBytes(), f.Callers.BodyTimeout()).end()
+func (s *Server) discardBody(w http.ResponseWriter, r *http.Request) {
+	s.setConnectionClose(w.Header())
+	newRequestBody(w, r, s.Callers.MaxBodyBytes(), s.Callers.BodyTimeout()).end()
 }
 
-func (f *Server) healthz(w http.ResponseWriter, r *http.Request) {
-	f.discardBody(w, r)
+func (s *Server) healthz(w http.ResponseWriter, r *http.Request) {
+	s.discardBody(w, r)
 	w.WriteHeader(http.StatusOK)
 }
 
-func (f *Server) readyz(w http.ResponseWriter, r *http.Request) {
-	f.discardBody(w, r)
+func (s *Server) readyz(w http.ResponseWriter, r *http.Request) {
+	s.discardBody(w, r)
 	switch {
-	case f.Draining():
+	case s.Draining():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
-	case !f.Configuration.Ready():
+	case !s.Configuration.Ready():
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusOK)
@@ -132,10 +132,10 @@
 }
 
 // timeout returns the timeout that the client has requested, limited by the setting.
-func (f *Server) timeout(r *http.Request) time.Duration {
+func (s *Server) timeout(r *http.Request) time.Duration {
 	requested, err := time.ParseDuration(r.Header.Get(headerDeadline) + "ms")
-	if err != nil || requested <= 0 || requested > f.Limits.Deadline() {
-		return f.Limits.Deadline()
+	if err != nil || requested <= 0 || requested > s.Limits.Deadline() {
+		return s.Limits.Deadline()
 	}
 	return requested
 }
