--- a/io/command/bench_test.go
+++ b/io/command/bench_test.go
@@ -11,9 +11,9 @@
 	"savoryfall/platform/standin/testclient"
 )
 
-// BenchmarkStream sends short streaming requests through a complete router on loopback, with 63 engines registered and 8
-// parallel clients per CPU. Clients, engines and the store run in this process too, so read a profile of it from the serve
-// function of io/entry downwards.
+// BenchmarkStream sends short streaming requests through a complete router on loopback, with 63 engines registered and
+// 8 parallel clients per CPU. Clients, engines and the store run in this process too, so read a profile of it from the
+// serve function of io/entry downwards.
 func BenchmarkStream(b *testing.B) {
 	f := newEntryFleet(b, 1)
 	for i := range 60 {
--- a/io/command/demoplatform.go
+++ b/io/command/demoplatform.go
@@ -16,7 +16,8 @@
 	"savoryfall/platform/standin/fakestore"
 )
 
-// platformDemo runs a small fleet of entry VMs in this process, with stand-ins for the platform's store and the endpoints.
+// platformDemo runs a small fleet of entry VMs in this process, with stand-ins for the platform's store and the
+// endpoints.
 type platformDemo struct {
 	store fakestore.Service
 	// address is the store's address.
@@ -141,7 +142,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), demoStopTimeout)
 	defer cancel()
 	for _, vm := range d.vms {
-		_ = vm.kernel.Stop(ctx)
+		_ = vm.manager.Stop(ctx)
 	}
 	for _, s := range d.httpServers {
 		_ = s.Close()
--- a/io/command/entry_test.go
+++ b/io/command/entry_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// startWithSettingsPipe starts a router whose settings file is a named pipe, so that its startup blocks until the settings
-// are written. It returns when the router has opened the pipe.
+// startWithSettingsPipe starts a router whose settings file is a named pipe, so that its startup blocks until the
+// settings are written. It returns when the router has opened the pipe.
 func startWithSettingsPipe(t *testing.T, command string) (cmd *exec.Cmd, out *strings.Builder, settings *os.File) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.toml")
@@ -30,8 +30,8 @@
 	return cmd, out, settings
 }
 
-// Guards against SIGHUP ending a process that is still starting: the platform sends it when settings change, also before
-// the process has read its settings. The process must go on and read the settings, here invalid ones.
+// Guards against SIGHUP ending a process that is still starting: the platform sends it when settings change, also
+// before the process has read its settings. The process must go on and read the settings, here invalid ones.
 func TestHangupDuringStartupDoesNotKill(t *testing.T) {
 	for _, command := range []string{"entry", "router"} {
 		t.Run(command, func(t *testing.T) {
@@ -134,8 +134,8 @@
 }
 
 // Guards against SIGHUP, the signal for changed settings, ending a router that doesn't support reloading, and all its
-// requests with it. The router must go on serving and log that it keeps its settings. SIGHUP during shutdown must not cut
-// off the requests that are still open.
+// requests with it. The router must go on serving and log that it keeps its settings. SIGHUP during shutdown must not
+// cut off the requests that are still open.
 func TestHangupDoesNotStopRouter(t *testing.T) {
 	t.Parallel()
 	cmd, lines, _, address := startRouter(t, "router", routerSettings)
--- a/io/command/entryvm.go
+++ b/io/command/entryvm.go
@@ -53,32 +53,32 @@
 
 // entryVM runs the services of a router on an entry VM. All state that routers share comes from the platform's store.
 type entryVM struct {
-	kernel       lifecycle.Manager
-	settings     *settings.Entry
-	logger       log.Logger
-	stopGrace    time.Duration
-	lease        freshness.Lease
-	retries      retrylimit.Limiter
-	limits       atomic.Pointer[retrylimit.Limits]
-	dispatcher   *dispatch.Dispatcher
-	desired      *storeconfig.Tracker
-	hub          *hub.Agent
-	drainTracker *draining.Tracker
+	manager       lifecycle.Manager
+	settings      *settings.Entry
+	logger        log.Logger
+	stopGrace     time.Duration
+	lease         freshness.Lease
+	retries       retrylimit.Limiter
+	limits        atomic.Pointer[retrylimit.Limits]
+	dispatcher    *dispatch.Dispatcher
+	configTracker *storeconfig.Tracker
+	hub           *hub.Agent
+	drainTracker  *draining.Tracker
 	// routers is the number of routers in the fleet, as far as known.
 	routers      atomic.Int64
-	front        *entry.Handler
+	handler      *entry.Handler
 	clientServer *entry.Server
 	metricSet    *metrics.Set
 }
 
 const (
-	// keyTermMargin is subtracted from the time that a withdrawn key may still be accepted. It covers the time between the
-	// check of the key and the request's arrival at the endpoint.
+	// keyTermMargin is subtracted from the time that a withdrawn key may still be accepted. It covers the time between
+	// the check of the key and the request's arrival at the endpoint.
 	keyTermMargin = 150 * time.Millisecond
 	// configurationPollWait is how long a read waits for a newer configuration. Each read renews the lease to serve.
 	configurationPollWait = 500 * time.Millisecond
-	// configurationMinInterval is the minimum time between two reads. Without it, a store that answers long polls at once
-	// would be read in a busy loop.
+	// configurationMinInterval is the minimum time between two reads. Without it, a store that answers long polls at
+	// once would be read in a busy loop.
 	configurationMinInterval = 50 * time.Millisecond
 	// registryMinInterval is the minimum time between two reads of the endpoints' entries, which change many times per
 	// second. An endpoint that leaves must get no new work after two seconds.
@@ -88,11 +88,11 @@
 	staleFraction = 0.75
 	// startupWait bounds how long a starting router waits for a hub to send it the contents of the store.
 	startupWait = 2 * time.Second
-	// hubGrace is how long a router waits for the hub to send a newer configuration: a few times the duration of a request
-	// to the hub.
+	// hubGrace is how long a router waits for the hub to send a newer configuration: a few times the duration of a
+	// request to the hub.
 	hubGrace = 400 * time.Millisecond
-	// minRouters is the minimum number of routers to divide the retry budget by, since routers that have just started are
-	// not known yet.
+	// minRouters is the minimum number of routers to divide the retry budget by, since routers that have just started
+	// are not known yet.
 	minRouters = 4
 	// settingsPollInterval is how often the settings file is checked for changes that came without a SIGHUP.
 	settingsPollInterval = time.Second
@@ -104,13 +104,13 @@
 		settings: cfg, logger: log.With(logger, field.Time, log.DefaultTimestampUTC, field.VM, cfg.VM().Name()),
 		dispatcher: dispatch.New(cfg.VM().FailureDomain()), metricSet: metrics.NewSet(),
 	}
-	vm.kernel.Register("stdout", logger)
+	vm.manager.Register("stdout", logger)
 	vm.applySettings(cfg)
 	err = vm.buildStore()
 	if err != nil {
 		return nil, err
 	}
-	err = vm.buildFront()
+	err = vm.buildHandler()
 	if err != nil {
 		return nil, err
 	}
@@ -146,19 +146,19 @@
 func (vm *entryVM) buildStore() (err error) {
 	counted := traffic.New(vm.metricSet)
 	storeClient := store.New(vm.settings.StoreAddress(), &http.Client{Transport: counted.CountCalls(traffic.KindLog, storeTransport(counted))})
-	vm.desired = storeconfig.New(wiredesired.Decoder{}, &vm.lease, vm.onConfiguration, vm.logger)
+	vm.configTracker = storeconfig.New(wiredesired.Decoder{}, &vm.lease, vm.onConfiguration, vm.logger)
 	staleAfter := time.Duration(staleFraction * float64(vm.settings.ChangesWithin()))
 	vm.drainTracker = draining.New(evacuation.Decoder{}, vm.dispatcher, vm.logger)
-	configurationFollower := follow.New(storeClient.Topic(wiredesired.Topic), follow.Sinks{vm.drainTracker, vm.desired}, follow.Options{
+	configurationFollower := follow.New(storeClient.Topic(wiredesired.Topic), follow.Sinks{vm.drainTracker, vm.configTracker}, follow.Options{
 		Name: "configuration", PollWait: configurationPollWait, MinInterval: configurationMinInterval, Grace: hubGrace, MaxAge: staleAfter, StartupWait: startupWait,
 		Clock: bootclock.Now,
 	}, vm.logger)
-	vm.kernel.Register("configuration", configurationFollower)
+	vm.manager.Register("configuration", configurationFollower)
 	endpointRegistry := registry.New(wireregistry.Decoder{}, vm.listed, vm.logger)
 	listed := follow.New(storeClient.Topic(wireregistry.Topic), endpointRegistry, follow.Options{
 		Name: "registry", MinInterval: registryMinInterval, MaxAge: staleAfter, StartupWait: startupWait, Clock: bootclock.Now,
 	}, vm.logger)
-	vm.kernel.Register("registry", listed)
+	vm.manager.Register("registry", listed)
 	vm.metricSet.NewGauge("savoryfall_registry_age_seconds", func() float64 {
 		_, confirmedAt, known := listed.Position()
 		if !known {
@@ -173,7 +173,7 @@
 			Bears:   members.VM{Cores: vm.settings.Cores(), MemoryMB: vm.settings.MemoryMB(), LinkMbps: vm.settings.LinkMbps()}.FollowerCapacity(),
 		},
 		ListenAddress: vm.settings.PeerAddress(),
-		Members:       &members.List{}, Configuration: configurationFollower, CurrentRecord: vm.desired.Record,
+		Members:       &members.List{}, Configuration: configurationFollower, CurrentRecord: vm.configTracker.Record,
 		OtherRecords: vm.drainTracker.Records, Registry: listed, Endpoints: endpointRegistry,
 		Loads: vm.dispatcher, RouterList: hub.NewRouterList(storeClient.Topic(store.RoutersTopic)), Bootstrap: vm.settings.Bootstrap(), Meter: counted,
 		Logger: vm.logger, Clock: bootclock.Now, StaleAfter: staleAfter, OnRoutersChanged: vm.counted,
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	vm.kernel.Register("hub", vm.hub)
+	vm.manager.Register("hub", vm.hub)
 	return nil
 }
 
@@ -206,21 +206,21 @@
 func (vm *entryVM) onConfiguration(t *routetable.Table) { vm.dispatcher.Configure(t) }
 func (vm *entryVM) listed(usable []directory.Entry)     { vm.dispatcher.Update(usable, time.Now()) }
 
-func (vm *entryVM) buildFront() (err error) {
+func (vm *entryVM) buildHandler() (err error) {
 	tracer, err := vm.tracer()
 	if err != nil {
 		return err
 	}
-	vm.front = entry.New(entry.Config{
-		ClientProtocol: clientapi.Codec{}, EndpointProtocol: endpointapi.Codec{}, Configuration: vm.desired, Lease: &vm.lease,
+	vm.handler = entry.New(entry.Config{
+		ClientProtocol: clientapi.Codec{}, EndpointProtocol: endpointapi.Codec{}, Configuration: vm.configTracker, Lease: &vm.lease,
 		Dispatcher: vm.dispatcher, Retries: &vm.retries, Pool: &http1.Pool{}, Tracer: tracer,
 		Metrics: entry.NewMetrics(vm.metricSet), Logger: vm.logger, Clock: bootclock.Now,
 	})
-	vm.clientServer, err = entry.NewServer(vm.settings.ClientAddress(), vm.front)
+	vm.clientServer, err = entry.NewServer(vm.settings.ClientAddress(), vm.handler)
 	if err != nil {
 		return err
 	}
-	vm.kernel.Register("clients", vm.clientServer)
+	vm.manager.Register("clients", vm.clientServer)
 	return nil
 }
 
@@ -234,7 +234,7 @@
 	if err != nil {
 		return nil, err
 	}
-	vm.kernel.Register("tracing", provider)
+	vm.manager.Register("tracing", provider)
 	return provider.Tracer(), nil
 }
 
@@ -247,7 +247,7 @@
 func (vm *entryVM) buildOperatorServers() (err error) {
 	readinessHandler := mux.NewRouter()
 	readinessHandler.HandleFunc(readinessPath, func(w http.ResponseWriter, _ *http.Request) {
-		if !vm.front.Ready() {
+		if !vm.handler.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -273,7 +273,7 @@
 		return age.Seconds()
 	})
 	vm.metricSet.NewGauge("savoryfall_configuration_version", func() float64 {
-		if t := vm.desired.Current(); t != nil {
+		if t := vm.configTracker.Current(); t != nil {
 			return float64(t.Version())
 		}
 		return 0
@@ -281,8 +281,8 @@
 	vm.metricSet.NewGauge("savoryfall_cores", func() float64 { return float64(runtime.GOMAXPROCS(0)) })
 	vm.metricSet.NewGauge("savoryfall_routers", func() float64 { return float64(vm.routers.Load()) })
 	vm.registerDispatchGauges()
-	vm.metricSet.NewGauge("savoryfall_open_requests", func() float64 { return float64(vm.front.ActiveRequests()) })
-	vm.metricSet.NewGauge("savoryfall_connections_made", func() float64 { return float64(vm.front.Pool.ConnectionsOpened()) })
+	vm.metricSet.NewGauge("savoryfall_open_requests", func() float64 { return float64(vm.handler.ActiveRequests()) })
+	vm.metricSet.NewGauge("savoryfall_connections_made", func() float64 { return float64(vm.handler.Pool.ConnectionsOpened()) })
 	for state, count := range map[string]func(c clientconn.Counts) int{
 		"idle": clientconn.Counts.Idle, "reading": clientconn.Counts.Reading, "serving": clientconn.Counts.Serving,
 	} {
@@ -316,7 +316,7 @@
 // writeServiceGauges writes, for each service of the configuration, this router's remaining retries, and the service's
 // places (its admission limit) and how many of them are taken.
 func (vm *entryVM) writeServiceGauges(w io.Writer) {
-	t := vm.desired.Current()
+	t := vm.configTracker.Current()
 	if t == nil {
 		return
 	}
@@ -334,7 +334,7 @@
 
 // metricsAddress returns the address of the metrics server.
 func (vm *entryVM) metricsAddress() string {
-	return vm.kernel.Find(metricsServerName).(*httpserver.Server).Address()
+	return vm.manager.Find(metricsServerName).(*httpserver.Server).Address()
 }
 
 func (vm *entryVM) addServer(name, address string, h http.Handler) (err error) {
@@ -342,20 +342,20 @@
 	if err != nil {
 		return err
 	}
-	vm.kernel.Register(name, s)
+	vm.manager.Register(name, s)
 	return nil
 }
 
 func (vm *entryVM) start(ctx context.Context) (err error) {
-	err = vm.kernel.Start(ctx)
+	err = vm.manager.Start(ctx)
 	if err == nil {
 		_ = vm.logger.Log(field.Event, event.Started, field.Clients, vm.clientServer.Address(), field.Store, vm.settings.StoreAddress())
 	}
 	return err
 }
 
-// watchSettings applies changes of the settings file, on SIGHUP and by polling, until ctx ends. current is the content that
-// the process started with: the file may have changed since it was read.
+// watchSettings applies changes of the settings file, on SIGHUP and by polling, until ctx ends. current is the content
+// that the process started with: the file may have changed since it was read.
 func (vm *entryVM) watchSettings(ctx context.Context, file string, current []byte, hangup <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -388,14 +388,14 @@
 }
 
 func (vm *entryVM) stop() (err error) {
-	_ = vm.logger.Log(field.Event, event.Stopping, field.Open, vm.front.ActiveRequests())
+	_ = vm.logger.Log(field.Event, event.Stopping, field.Open, vm.handler.ActiveRequests())
 	vm.clientServer.Drain(vm.stopGrace)
 	remaining := vm.clientServer.Connections().Counts()
-	_ = vm.logger.Log(field.Event, event.Stopped, field.Open, vm.front.ActiveRequests(),
+	_ = vm.logger.Log(field.Event, event.Stopped, field.Open, vm.handler.ActiveRequests(),
 		field.Reading, remaining.Reading(), field.Serving, remaining.Serving())
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	return vm.kernel.Stop(ctx)
+	return vm.manager.Stop(ctx)
 }
 
 const (
--- a/io/command/entryvm_test.go
+++ b/io/command/entryvm_test.go
@@ -52,7 +52,7 @@
 	}
 	f.waitFor("ready", func() bool {
 		for _, vm := range f.vms {
-			if !vm.front.Ready() || f.get(vm, "/read/x", "good").Status != 200 {
+			if !vm.handler.Ready() || f.get(vm, "/read/x", "good").Status != 200 {
 				return false
 			}
 		}
@@ -116,14 +116,14 @@
 	f.t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = vm.kernel.Stop(ctx)
+		_ = vm.manager.Stop(ctx)
 	})
 }
 
 var addressCount atomic.Int64
 
-// uniqueLoopbackAddress returns a loopback IP address that no other test uses, with a fixed port. Choosing a free port of
-// one address instead would race with other sockets between the choice and the bind.
+// uniqueLoopbackAddress returns a loopback IP address that no other test uses, with a fixed port. Choosing a free port
+// of one address instead would race with other sockets between the choice and the bind.
 func uniqueLoopbackAddress() string {
 	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:20101", 1+os.Getpid()%250, 1+n/250, 1+n%250)
@@ -228,8 +228,8 @@
 	}
 }
 
-// A new configuration becomes active on every router, and no router returns to an older version, even when the store holds
-// the older version again.
+// A new configuration becomes active on every router, and no router returns to an older version, even when the store
+// holds the older version again.
 func TestConfigurationOnlyGoesForward(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
@@ -253,7 +253,7 @@
 	f.waitFor("one hub", func() bool { return f.vms[1].hub.HubName() == "vm0" && f.vms[2].hub.HubName() == "vm0" })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = f.vms[0].kernel.Stop(ctx)
+	_ = f.vms[0].manager.Stop(ctx)
 	f.store.Put("keyed.op", "other", []byte("{}"))
 	f.store.Compact("keyed.op")
 	f.store.Compact("keyed.servers")
@@ -327,10 +327,10 @@
 	f.waitFor("the lease to serve expires", func() bool {
 		return f.get(f.vms[0], "/read/x", "good").Status == 503 && f.get(f.vms[1], "/read/x", "good").Status == 503
 	})
-	assert.Assert(t, !f.vms[0].front.Ready())
+	assert.Assert(t, !f.vms[0].handler.Ready())
 	f.store.SetDown(false)
 	for _, vm := range f.vms {
-		f.waitFor("served again", func() bool { return f.get(vm, "/read/x", "good").Status == 200 && vm.front.Ready() })
+		f.waitFor("served again", func() bool { return f.get(vm, "/read/x", "good").Status == 200 && vm.handler.Ready() })
 	}
 }
 
@@ -357,7 +357,7 @@
 	f.store.Put("keyed.servers", "p0", []byte("{"))
 	f.store.Put("keyed.op", "config", []byte("{"))
 	f.putConfiguration(5, "good", "plain")
-	f.waitFor("version 5", func() bool { return f.vms[0].desired.Current().Version() == 5 })
+	f.waitFor("version 5", func() bool { return f.vms[0].configTracker.Current().Version() == 5 })
 	for range 50 {
 		assert.Equal(t, f.get(f.vms[0], "/read/x", "good").Status, 200)
 	}
@@ -395,8 +395,9 @@
 `, uniqueLoopbackAddress(), f.storeAddress, grace)
 }
 
-// Guards against a process that shuts down by the grace it started with after the setting was lowered, by a reload or by a
-// write just before the stop: the platform then killed it with client requests open. It must stop within the new grace.
+// Guards against a process that shuts down by the grace it started with after the setting was lowered, by a reload or
+// by a write just before the stop: the platform then killed it with client requests open. It must stop within the new
+// grace.
 func TestStopUsesCurrentGrace(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 0)
--- a/io/command/loglines_test.go
+++ b/io/command/loglines_test.go
@@ -59,7 +59,7 @@
 	vm, err := newEntryVM(cfg, logwriter.New(logOutput))
 	assert.NilError(t, err)
 	assert.NilError(t, vm.start(context.Background()))
-	f.waitFor("served", func() bool { return vm.front.Ready() && f.get(vm, "/read/x", "good").Status == 200 })
+	f.waitFor("served", func() bool { return vm.handler.Ready() && f.get(vm, "/read/x", "good").Status == 200 })
 	logged := func(event string) func() bool {
 		return func() bool { return strings.Contains(logOutput.String(), "event="+event+" ") }
 	}
@@ -86,8 +86,8 @@
 	assert.Equal(t, distinctLines(logOutput.String()), strings.TrimPrefix(wantLines, "\n"))
 }
 
-// optionalLines matches lines that depend on timing: of a store that is briefly unavailable, and of requests that are sent
-// until the first endpoint is known.
+// optionalLines matches lines that depend on timing: of a store that is briefly unavailable, and of requests that are
+// sent until the first endpoint is known.
 var optionalLines = regexp.MustCompile(`event=(notListed|routersUnknown) |request=r\d+ `)
 
 // distinctLines replaces the random values and returns the distinct lines in sorted order.
--- a/io/command/lognames_test.go
+++ b/io/command/lognames_test.go
@@ -59,8 +59,8 @@
 
 var backquoted = regexp.MustCompile("`([^`]+)`")
 
-// documentedNames returns the backquoted words in the first column of those tables of docs/OPERATIONS.md whose first column
-// has the given heading.
+// documentedNames returns the backquoted words in the first column of those tables of docs/OPERATIONS.md whose first
+// column has the given heading.
 func documentedNames(t *testing.T, heading string) (words []string) {
 	page, err := os.ReadFile(operationsPage)
 	assert.NilError(t, err)
@@ -102,12 +102,12 @@
 }
 
 // docs/OPERATIONS.md explains each reason of a refusal and each way that a connection ends.
-func TestOperationsPageDocumentsReasonsAndEndings(t *testing.T) {
+func TestOperationsPageDocumentsRefusalAndCloseReasons(t *testing.T) {
 	page, err := os.ReadFile(operationsPage)
 	assert.NilError(t, err)
-	words := values(constantsOf(t, root+"/core/ask/problem.go", "Reason"))
-	for _, ending := range clientconn.CloseReasons() {
-		words = append(words, string(ending))
+	words := values(constantsOf(t, root+"/core/request/problem.go", "Reason"))
+	for _, reason := range clientconn.CloseReasons() {
+		words = append(words, string(reason))
 	}
 	for _, word := range words {
 		found := regexp.MustCompile("`(reason=|ended=)?" + word + "`").Match(page)
@@ -123,8 +123,8 @@
 	})
 }
 
-// loggingFiles returns the files of all packages that use core/event or core/field, and these packages. Package io/command
-// has commands of several kinds of process, so only those of its files count that use the names themselves.
+// loggingFiles returns the files of all packages that use core/event or core/field, and these packages. Package
+// io/command has commands of several kinds of process, so only those of its files count that use the names themselves.
 func loggingFiles(t *testing.T, fset *token.FileSet) (files []*ast.File, packages []string) {
 	filesByDir := map[string][]*ast.File{}
 	for _, top := range []string{"core", "io", "platform"} {
@@ -255,7 +255,8 @@
 	r := &logCallChecker{fset: token.NewFileSet(), fields: map[string]bool{}, events: map[string]bool{}}
 	files, packages := loggingFiles(t, r.fset)
 	assert.DeepEqual(t, packages, []string{
-		"core/logstory", "io/clientconn", "io/command", "io/desired", "io/draining", "io/entry", "io/follow", "io/hub", "io/registry", "io/stdout",
+		"core/loganalysis", "io/clientconn", "io/command", "io/draining", "io/entry", "io/follow", "io/hub", "io/logwriter", "io/registry",
+		"io/storeconfig",
 	})
 	for _, f := range files {
 		ast.Inspect(f, r.visit)
@@ -307,12 +308,12 @@
 }
 
 // Each way that a connection can end is explained in words.
-func TestEveryEndingIsExplained(t *testing.T) {
-	for _, ending := range clientconn.CloseReasons() {
+func TestEveryCloseReasonIsExplained(t *testing.T) {
+	for _, reason := range clientconn.CloseReasons() {
 		l := &loganalysis.Log{}
-		assert.NilError(t, l.Read(strings.NewReader("ts=2031-04-02T08:00:00Z vm=a event=requestRefused request=r ended="+string(ending))))
+		assert.NilError(t, l.Read(strings.NewReader("ts=2031-04-02T08:00:00Z vm=a event=requestRefused request=r ended="+string(reason))))
 		words := l.Explain("r")[0].Explanation
-		assert.Assert(t, len(words) > 1 && !strings.Contains(words[0], "ended: "), "%s: %v", ending, words)
+		assert.Assert(t, len(words) > 1 && !strings.Contains(words[0], "ended: "), "%s: %v", reason, words)
 	}
 }
 
--- a/io/command/logs.go
+++ b/io/command/logs.go
@@ -72,11 +72,11 @@
 	if err != nil {
 		return err
 	}
-	story := l.Explain(args[0])
-	if len(story) == 0 {
+	lines := l.Explain(args[0])
+	if len(lines) == 0 {
 		return fmt.Errorf("none of %d log lines mentions request %s: it was served at the first try, or its line was dropped", l.Len(), args[0])
 	}
-	for _, line := range story {
+	for _, line := range lines {
 		err = printLine(s, line)
 		if err != nil {
 			return err
--- a/io/command/release.go
+++ b/io/command/release.go
@@ -49,9 +49,9 @@
 		name, help string
 		run        func(context.Context, streams, releaseFlags, []string) error
 	}{
-		{"check", "check a note; with --log, also against the active configuration", checkNote},
-		{"diff", "show what a note would change", diffNote},
-		{"publish", "publish a note and wait until it is active", publishNote},
+		{"check", "check a note; with --log, also against the active configuration", checkReleaseNote},
+		{"diff", "show what a note would change", diffReleaseNote},
+		{"publish", "publish a note and wait until it is active", publishReleaseNote},
 		{"show", "show the active configuration of every router", showRelease},
 	} {
 		flags := newFlags("release "+sub.name, s)
@@ -65,7 +65,7 @@
 	return parent
 }
 
-func readNote(args []string) (n *releasenote.Note, err error) {
+func readReleaseNote(args []string) (n *releasenote.Note, err error) {
 	file, err := singleFile(args)
 	if err != nil {
 		return nil, err
@@ -93,13 +93,13 @@
 	return c, err
 }
 
-// rejectedError reports a well-formed note that was not, or would not be, accepted.
+// rejectedError reports a well-formed release note that was not, or would not be, accepted.
 type rejectedError struct{ id, reason string }
 
 func (e rejectedError) Error() string { return fmt.Sprintf("note %q is rejected: %s", e.id, e.reason) }
 
-func checkNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
-	n, err := readNote(args)
+func checkReleaseNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
+	n, err := readReleaseNote(args)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	return err
 }
 
-// difference describes one item that a note would add, change or withdraw.
+// difference describes one item that a release note would add, change or withdraw.
 type difference struct {
 	Verb   string         `json:"verb"`
 	Item   string         `json:"item"`
@@ -124,8 +124,8 @@
 	After  map[string]any `json:"after,omitempty"`
 }
 
-func diffNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
-	n, err := readNote(args)
+func diffReleaseNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
+	n, err := readReleaseNote(args)
 	if err != nil {
 		return err
 	}
@@ -195,9 +195,10 @@
 
 const publishAttempts = 3
 
-// publishNote may append the note more than once when a response is lost. This is safe, since a note is applied once by its ID.
-func publishNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
-	n, err := readNote(args)
+// publishReleaseNote may append the release note more than once when a response is lost. This is safe, since it is
+// applied once by its ID.
+func publishReleaseNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
+	n, err := readReleaseNote(args)
 	if err != nil {
 		return err
 	}
@@ -227,7 +228,7 @@
 	return f.waitUntilApplied(ctx, s, c, start)
 }
 
-// waitUntilApplied polls the status of each router until all have applied the note.
+// waitUntilApplied polls the status of each router until all have applied the release note.
 func (f releaseFlags) waitUntilApplied(ctx context.Context, s streams, c *activeconfig.Configuration, start time.Time) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, *f.wait)
 	defer cancel()
@@ -249,7 +250,7 @@
 	return routerURLs
 }
 
-// notAppliedError reports that a router did not apply the note in time.
+// notAppliedError reports that a router did not apply the release note in time.
 type notAppliedError struct {
 	router string
 	cause  error
--- a/io/command/session_test.go
+++ b/io/command/session_test.go
@@ -34,8 +34,8 @@
 	}})
 }
 
-// TestSessions runs the scripts in testdata/session, each command as its own process, and compares the output with golden
-// text.
+// TestSessions runs the scripts in testdata/session, each command as its own process, and compares the output with
+// golden text.
 func TestSessions(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/session",
@@ -167,7 +167,8 @@
 	{regexp.MustCompile(`source=(log|peer)`), "source=<source>"},
 }
 
-// normalize prints a file with placeholders for values that differ between runs: normalize FILE [PATTERN of lines to keep].
+// normalize prints a file with placeholders for values that differ between runs: normalize FILE [PATTERN of lines to
+// keep].
 func normalize(ts *testscript.TestScript, _ bool, args []string) {
 	keep := regexp.MustCompile("")
 	if len(args) > 1 {
