--- a/io/configuration/follower.go
+++ b/io/configuration/follower.go
@@ -65,7 +65,8 @@
 // SetPeers sets the peers to ask for a snapshot when the log is unavailable. It must be called before Start.
 func (f *Follower) SetPeers(p Peers) { f.peers = p }
 
-// OnChange registers a function that is called with the current configuration at once, and then with each new one, in order.
+// OnChange registers a function that is called with the current configuration at once, and then with each new one, in
+// order.
 func (f *Follower) OnChange(listener func(*activeconfig.Configuration)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,8 +205,8 @@
 	return records
 }
 
-// initialize recovers the configuration from the log or, if that fails, from a snapshot of a peer. If the first notes are
-// trimmed, the log's records include a snapshot that covers them.
+// initialize recovers the configuration from the log or, if that fails, from a snapshot of a peer. If the first release
+// notes are trimmed, the log's records include a snapshot that covers them.
 func (f *Follower) initialize(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "recover configuration")
 	found, logErr := f.recoverFromLog(ctx)
--- a/io/configuration/recovery.go
+++ b/io/configuration/recovery.go
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("notes before offset %d were trimmed from the log, and no snapshot on the log covers them", e.First)
 }
 
-// Recover builds the configuration from the newest complete snapshot on the log and the records after it. It returns all
-// records that it read.
+// Recover builds the configuration from the newest complete snapshot on the log and the records after it. It returns
+// all records that it read.
 func Recover(ctx context.Context, l Log) (c *activeconfig.Configuration, records []platformlog.Record, err error) {
 	defer annotate.Error(&err, "recover configuration from the log")
 	first, records, err := readAll(ctx, l)
--- a/io/configuration/snapshots.go
+++ b/io/configuration/snapshots.go
@@ -10,11 +10,11 @@
 	"savoryfall/core/annotate"
 )
 
-// snapshotState tracks the newest snapshot on the stream and the notes after it.
+// snapshotState tracks the newest snapshot on the stream and the release notes after it.
 type snapshotState struct {
-	newestSnapshot time.Time
-	firstNote      time.Time
-	notesSince     int
+	newestSnapshot   time.Time
+	firstReleaseNote time.Time
+	notesSince       int
 }
 
 func (s *snapshotState) observe(data []byte, at time.Time) {
@@ -22,21 +22,22 @@
 		s.newestSnapshot, s.notesSince = at, 0
 		return
 	}
-	if s.firstNote.IsZero() {
-		s.firstNote = at
+	if s.firstReleaseNote.IsZero() {
+		s.firstReleaseNote = at
 	}
 	s.notesSince++
 }
 
 const (
-	// snapshotsPerRetention is the number of snapshots written per retention period. With several on the log, one that is lost
-	// or damaged does no harm.
+	// snapshotsPerRetention is the number of snapshots written per retention period. With several on the log, one that
+	// is lost or damaged does no harm.
 	snapshotsPerRetention = 4
-	// maxNotesSince bounds the number of notes that a new VM has to apply after the newest snapshot.
-	maxNotesSince = 2000
+	// maxReleaseNotesSince bounds the number of release notes that a new VM has to apply after the newest snapshot.
+	maxReleaseNotesSince = 2000
 )
 
-// SnapshotDue reports whether a snapshot must be written now. One is due long before notes that no snapshot covers can expire.
+// SnapshotDue reports whether a snapshot must be written now. One is due long before release notes that no snapshot
+// covers can expire.
 func (f *Follower) SnapshotDue(now time.Time, retention time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,16 +46,16 @@
 	}
 	last := f.snapshot.newestSnapshot
 	if last.IsZero() {
-		last = f.snapshot.firstNote
+		last = f.snapshot.firstReleaseNote
 	}
 	if last.IsZero() {
 		return false
 	}
-	return f.snapshot.notesSince >= maxNotesSince || now.Sub(last) > retention/snapshotsPerRetention
+	return f.snapshot.notesSince >= maxReleaseNotesSince || now.Sub(last) > retention/snapshotsPerRetention
 }
 
-// WriteSnapshot appends a snapshot of the configuration in force to the configuration stream. Concurrent or repeated writes do
-// no harm.
+// WriteSnapshot appends a snapshot of the configuration in force to the configuration stream. Concurrent or repeated
+// writes do no harm.
 func (f *Follower) WriteSnapshot(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "write snapshot")
 	data, err := f.Current().Snapshot()
