--- a/io/draining/keeper.go
+++ b/io/draining/tracker.go
@@ -39,96 +39,96 @@
 	records   map[string]compactedlog.Record
 }
 
-// New returns a keeper that updates the endpoints whenever the set of drained domains changes.
+// New returns a tracker that updates the endpoints whenever the set of drained domains changes.
 func New(d Decoder, e Endpoints, logger log.Logger) *Tracker {
 	return &Tracker{decoder: d, endpoints: e, logger: logger, records: map[string]compactedlog.Record{}}
 }
 
 // Replace applies the newest record of every key. If a domain's record cannot be read, its last readable order
 // stays in force.
-func (k *Tracker) Replace(records []compactedlog.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (t *Tracker) Replace(records []compactedlog.Record) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var orders []drain.Order
 	var kept []string
 	for _, r := range records {
-		o, ok, err := k.decoder.Decode(r)
+		o, ok, err := t.decoder.Decode(r)
 		switch {
 		case !ok:
 		case err != nil:
-			k.logUnreadable(r, err)
+			t.logUnreadable(r, err)
 			kept = append(kept, o.Domain)
 		default:
 			orders = append(orders, o)
-			k.saveRecord(o, r)
+			t.saveRecord(o, r)
 		}
 	}
-	k.notify(k.domains.Replace(orders, kept))
+	t.notify(t.domains.Replace(orders, kept))
 }
 
 // Apply applies the records written since the last read.
-func (k *Tracker) Apply(records []compactedlog.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (t *Tracker) Apply(records []compactedlog.Record) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	changed := false
 	for _, r := range records {
-		o, ok, err := k.decoder.Decode(r)
+		o, ok, err := t.decoder.Decode(r)
 		if !ok {
 			continue
 		}
 		if err != nil {
-			k.logUnreadable(r, err)
+			t.logUnreadable(r, err)
 			continue
 		}
-		k.saveRecord(o, r)
-		changed = k.domains.Apply(o) || changed
+		t.saveRecord(o, r)
+		changed = t.domains.Apply(o) || changed
 	}
-	k.notify(changed)
+	t.notify(changed)
 }
 
 // Read does nothing: a drain order does not expire.
-func (k *Tracker) Read(time.Duration) {}
+func (t *Tracker) Read(time.Duration) {}
 
 // Failed does nothing: the last orders stay in force.
-func (k *Tracker) Failed(error) {}
+func (t *Tracker) Failed(error) {}
 
 // Records returns the records of the drained domains, for routers that this router reads for.
-func (k *Tracker) Records() (records []compactedlog.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, domain := range k.domains.List() {
-		records = append(records, k.records[domain])
+func (t *Tracker) Records() (records []compactedlog.Record) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, domain := range t.domains.List() {
+		records = append(records, t.records[domain])
 	}
 	return records
 }
 
-func (k *Tracker) saveRecord(o drain.Order, r compactedlog.Record) {
-	if o.Drained && r.Offset >= k.records[o.Domain].Offset {
-		k.records[o.Domain] = r
+func (t *Tracker) saveRecord(o drain.Order, r compactedlog.Record) {
+	if o.Drained && r.Offset >= t.records[o.Domain].Offset {
+		t.records[o.Domain] = r
 	}
 }
 
-func (k *Tracker) logUnreadable(r compactedlog.Record, err error) {
-	_ = k.logger.Log(field.Event, event.OrderUnreadable, field.Offset, r.Offset, field.Err, err)
+func (t *Tracker) logUnreadable(r compactedlog.Record, err error) {
+	_ = t.logger.Log(field.Event, event.OrderUnreadable, field.Offset, r.Offset, field.Err, err)
 }
 
 // notify passes on the drained domains and logs the changes. The logged number of endpoints is 0 if the name
 // matches no failure domain, such as a misspelled one.
-func (k *Tracker) notify(changed bool) {
+func (t *Tracker) notify(changed bool) {
 	if !changed {
 		return
 	}
-	drained := k.domains.List()
-	k.endpoints.SetDrained(drained, time.Now())
+	drained := t.domains.List()
+	t.endpoints.SetDrained(drained, time.Now())
 	for _, domain := range drained {
-		if !slices.Contains(k.announced, domain) {
-			_ = k.logger.Log(field.Event, event.DomainDrained, field.Domain, domain, field.Listed, k.endpoints.CountInDomain(domain), field.Offset, k.records[domain].Offset)
+		if !slices.Contains(t.announced, domain) {
+			_ = t.logger.Log(field.Event, event.DomainDrained, field.Domain, domain, field.Listed, t.endpoints.CountInDomain(domain), field.Offset, t.records[domain].Offset)
 		}
 	}
-	for _, domain := range k.announced {
+	for _, domain := range t.announced {
 		if !slices.Contains(drained, domain) {
-			_ = k.logger.Log(field.Event, event.DomainBack, field.Domain, domain, field.Listed, k.endpoints.CountInDomain(domain))
+			_ = t.logger.Log(field.Event, event.DomainBack, field.Domain, domain, field.Listed, t.endpoints.CountInDomain(domain))
 		}
 	}
-	k.announced = drained
+	t.announced = drained
 }
