--- a/io/entry/attempt.go
+++ b/io/entry/attempt.go
@@ -37,8 +37,8 @@
 
 // chooseEndpoint selects the endpoint for the next attempt. If there is none, the problem gives the reason.
 func (x *exchange) chooseEndpoint() (a *attempt, p *request.Problem) {
-	d, reason := x.front.Dispatcher.Choose(dispatch.Query{
-		Service: x.service, Prompt: x.ask.Prompt, Rank: x.rank(), Account: x.accountName(), Tried: x.tried,
+	d, reason := x.handler.Dispatcher.Choose(dispatch.Query{
+		Service: x.service, Prompt: x.request.Prompt, Rank: x.rank(), Account: x.accountName(), Tried: x.tried,
 	}, time.Now())
 	switch {
 	case d != nil:
@@ -55,37 +55,37 @@
 // retryAfterFull returns when the client should retry a request to a service that is at capacity.
 func (x *exchange) retryAfterFull() time.Duration {
 	now := time.Now()
-	full := x.front.Dispatcher.FullFor(x.service, x.rank(), now)
+	full := x.handler.Dispatcher.FullFor(x.service, x.rank(), now)
 	return retryafter.Delay(full, x.route.ResponseGoal, x.deadline.Sub(now), rand.Float64())
 }
 
 // send sends the request and waits for the header of the response until the given time.
 func (x *exchange) send(a *attempt, until time.Time, lastEvent string) (err error) {
 	e := a.Endpoint()
-	ctx, span := x.front.Tracer.Start(a.ctx, "attempt", trace.WithAttributes(
-		attribute.String("request", x.ask.ID), attribute.String("endpoint", e.ID), attribute.String("service", e.Service),
+	ctx, span := x.handler.Tracer.Start(a.ctx, "attempt", trace.WithAttributes(
+		attribute.String("request", x.request.ID), attribute.String("endpoint", e.ID), attribute.String("service", e.Service),
 	))
 	defer span.End()
-	h := x.front.EndpointProtocol.Encode(forwardedHeader(x.r.Header), x.endpointRequest(a, lastEvent))
+	h := x.handler.EndpointProtocol.Encode(forwardedHeader(x.r.Header), x.endpointRequest(a, lastEvent))
 	x.tried = append(x.tried, e.ID)
-	a.response, err = x.front.Pool.Do(ctx, http1.Request{
-		Address: e.Address, Method: x.ask.Method, Target: x.ask.Target, Host: x.ask.Host, Header: h,
+	a.response, err = x.handler.Pool.Do(ctx, http1.Request{
+		Address: e.Address, Method: x.request.Method, Target: x.request.Target, Host: x.request.Host, Header: h,
 		Body: x.body, HasBody: x.r.ContentLength != 0 || len(x.body) > 0, Deadline: until,
-		Matches: func(h http.Header) bool { return x.front.EndpointProtocol.MatchesRequest(h, x.ask.ID) },
+		Matches: func(h http.Header) bool { return x.handler.EndpointProtocol.MatchesRequest(h, x.request.ID) },
 	})
 	if err != nil {
 		return err
 	}
-	a.reply = x.front.EndpointProtocol.Decode(a.response.Status, a.response.Header)
+	a.reply = x.handler.EndpointProtocol.Decode(a.response.Status, a.response.Header)
 	return nil
 }
 
 func (x *exchange) endpointRequest(a *attempt, lastEvent string) (s request.EndpointRequest) {
 	s = request.EndpointRequest{
-		ID: x.ask.ID, Endpoint: a.Endpoint().ID, Remaining: time.Until(x.deadline), LastEventID: lastEvent, FetchFrom: a.FetchSource(),
+		ID: x.request.ID, Endpoint: a.Endpoint().ID, Remaining: time.Until(x.deadline), LastEventID: lastEvent, FetchFrom: a.FetchSource(),
 		Account: x.accountName(),
 	}
-	if len(x.ask.Prompt) > 0 {
+	if len(x.request.Prompt) > 0 {
 		s.Priority, s.HasPriority = x.urgency(), true
 	}
 	return s
@@ -119,7 +119,7 @@
 	}
 	took, first := a.End(v, time.Now())
 	if first {
-		x.front.Metrics.attempt(x.service, v, took)
+		x.handler.Metrics.attempt(x.service, v, took)
 	}
 }
 
@@ -173,7 +173,7 @@
 	if x.sends == 0 {
 		return true
 	}
-	return x.front.Retries.Allow(x.service, now)
+	return x.handler.Retries.Allow(x.service, now)
 }
 
 // minAttemptTime is the minimum time left for another attempt. A plain call takes longer than this.
--- a/io/entry/exchange.go
+++ b/io/entry/exchange.go
@@ -16,13 +16,13 @@
 
 // exchange is the processing of one request.
 type exchange struct {
-	front    *Handler
+	handler  *Handler
 	w        http.ResponseWriter
 	r        *http.Request
 	ctx      context.Context
 	began    time.Time
 	deadline time.Time
-	ask      request.Request
+	request  request.Request
 	table    *routetable.Table
 	route    *routetable.Route
 	account  *routetable.Account
@@ -37,12 +37,12 @@
 // serve processes the request: it decodes it, checks whether it may be served, reads the body, and forwards it to
 // endpoints.
 func (x *exchange) serve() {
-	ctx, span := x.front.Tracer.Start(x.r.Context(), "request")
+	ctx, span := x.handler.Tracer.Start(x.r.Context(), "request")
 	defer span.End()
 	x.ctx = ctx
 	p := x.decode()
 	if p == nil {
-		x.front.awaitConfiguration(ctx)
+		x.handler.awaitConfiguration(ctx)
 		p = x.admit()
 	}
 	if p == nil {
@@ -61,8 +61,8 @@
 }
 
 func (x *exchange) decode() *request.Problem {
-	a, err := x.front.ClientProtocol.Decode(x.r)
-	x.ask = a
+	req, err := x.handler.ClientProtocol.Decode(x.r)
+	x.request = req
 	if err != nil {
 		return request.NotRun(request.Malformed, 0)
 	}
@@ -79,24 +79,24 @@
 
 // admit looks up the route and the client account in the active configuration, and refuses what that does not allow.
 func (x *exchange) admit() *request.Problem {
-	f := x.front
-	if f.phase.Load() == phaseRefusing {
+	h := x.handler
+	if h.phase.Load() == phaseRefusing {
 		return request.NotRun(request.Stopping, retrySoon)
 	}
-	x.table = f.Configuration.Current()
+	x.table = h.Configuration.Current()
 	if x.table == nil {
 		return request.NotRun(request.NoConfiguration, retryLater)
 	}
 	if limit := x.table.Limits().MaxHeaderBytes; limit > 0 && headerSize(x.r) > limit {
 		return request.NotRun(request.HeaderTooLarge, 0)
 	}
-	fresh := f.Lease.Valid(f.Clock())
-	x.route = x.table.Route(x.ask.Host, x.ask.Path)
+	fresh := h.Lease.Valid(h.Clock())
+	x.route = x.table.Route(x.request.Host, x.request.Path)
 	if x.route == nil {
 		return staleKeysOr(fresh, request.NotRun(request.UnknownRoute, 0))
 	}
 	if x.table.RequiresKey() && !x.route.Public {
-		x.account = x.table.AccountByKey(x.ask.APIKey)
+		x.account = x.table.AccountByKey(x.request.APIKey)
 		if !fresh {
 			return request.NotRun(request.StaleKeys, retryLater)
 		}
@@ -118,7 +118,7 @@
 
 // timeout returns how long the request may take: the client's timeout, limited to that of the route.
 func (x *exchange) timeout() time.Duration {
-	d := x.ask.Timeout
+	d := x.request.Timeout
 	if x.route.Timeout > 0 && (d <= 0 || d > x.route.Timeout) {
 		d = x.route.Timeout
 	}
@@ -175,8 +175,8 @@
 // forward sends the request to endpoints until one of them has answered it.
 func (x *exchange) forward() *request.Problem {
 	_ = http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeSlack))
-	x.service = x.route.ChooseService(routeFraction(x.ask.ID))
-	x.front.Retries.RecordFirst(x.service, time.Now())
+	x.service = x.route.ChooseService(routeFraction(x.request.ID))
+	x.handler.Retries.RecordFirst(x.service, time.Now())
 	if x.route.Kind.Streaming() {
 		return x.forwardStream()
 	}
--- a/io/entry/front.go
+++ b/io/entry/handler.go
@@ -21,7 +21,7 @@
 
 // ClientProtocol implements the protocol of the clients.
 type ClientProtocol interface {
-	Decode(r *http.Request) (a request.Request, err error)
+	Decode(r *http.Request) (req request.Request, err error)
 	EncodeRefusal(p *request.Problem, h http.Header) (status int)
 }
 
@@ -37,7 +37,7 @@
 	Current() *routetable.Table
 }
 
-// Config are the dependencies of a Front.
+// Config are the dependencies of a Handler.
 type Config struct {
 	ClientProtocol   ClientProtocol
 	EndpointProtocol EndpointProtocol
@@ -61,7 +61,7 @@
 	began time.Time
 }
 
-// The phases of a Front. While draining, it still serves requests, because the load balancer and open connections
+// The phases of a Handler. While draining, it still serves requests, because the load balancer and open connections
 // deliver them for some time. Then it refuses new requests, so that those already started can finish in time.
 const (
 	phaseServing int32 = iota
@@ -69,8 +69,8 @@
 	phaseRefusing
 )
 
-// New creates a Front.
-func New(p Config) *Handler { return &Handler{Config: p, began: time.Now()} }
+// New creates a Handler.
+func New(c Config) *Handler { return &Handler{Config: c, began: time.Now()} }
 
 const (
 	// startupPeriod is how long after its start a process may still be without a configuration: it either receives one
@@ -85,37 +85,37 @@
 // awaitConfiguration delays a request while a process that has just started has no configuration. Routers that restart
 // together receive requests before any of them has one. Clients that were told to retry were then served late, or used
 // their last attempt on another router that had no configuration either.
-func (f *Handler) awaitConfiguration(ctx context.Context) {
+func (h *Handler) awaitConfiguration(ctx context.Context) {
 	until := time.Now().Add(maxStartupWait)
-	for f.Configuration.Current() == nil && time.Since(f.began) < startupPeriod && time.Now().Before(until) && ctx.Err() == nil {
+	for h.Configuration.Current() == nil && time.Since(h.began) < startupPeriod && time.Now().Before(until) && ctx.Err() == nil {
 		background.Sleep(ctx, startupPollPeriod, nil)
 	}
 }
 
-// SetUnready makes the front report that it is not ready, and asks clients to close their connections after the next
+// SetUnready makes the handler report that it is not ready, and asks clients to close their connections after the next
 // response.
-func (f *Handler) SetUnready() { f.phase.CompareAndSwap(phaseServing, phaseDraining) }
+func (h *Handler) SetUnready() { h.phase.CompareAndSwap(phaseServing, phaseDraining) }
 
 // RefuseNew refuses further requests.
-func (f *Handler) RefuseNew() { f.phase.Store(phaseRefusing) }
+func (h *Handler) RefuseNew() { h.phase.Store(phaseRefusing) }
 
 // ActiveRequests returns the number of requests in progress.
-func (f *Handler) ActiveRequests() int64 { return f.open.Load() }
+func (h *Handler) ActiveRequests() int64 { return h.open.Load() }
 
-// maxReadyAge is the age of the last read of the configuration from which on the front reports that it is not ready.
+// maxReadyAge is the age of the last read of the configuration from which on the handler reports that it is not ready.
 // The load balancer takes about two seconds to react, and by then the configuration may hardly be used any longer.
 const maxReadyAge = 3200 * time.Millisecond
 
 // Ready reports whether the load balancer should send new clients.
-func (f *Handler) Ready() bool {
-	age, known := f.Lease.Age(f.Clock())
-	return f.phase.Load() == phaseServing && known && age < maxReadyAge && f.Configuration.Current() != nil
+func (h *Handler) Ready() bool {
+	age, known := h.Lease.Age(h.Clock())
+	return h.phase.Load() == phaseServing && known && age < maxReadyAge && h.Configuration.Current() != nil
 }
 
 // ServeHTTP serves one request.
-func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.open.Add(1)
-	defer f.open.Add(-1)
-	x := &exchange{front: f, w: w, r: r, began: time.Now(), conn: clientconn.FromContext(r.Context())}
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.open.Add(1)
+	defer h.open.Add(-1)
+	x := &exchange{handler: h, w: w, r: r, began: time.Now(), conn: clientconn.FromContext(r.Context())}
 	x.serve()
 }
--- a/io/entry/header.go
+++ b/io/entry/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hopByHop are the header fields that are not passed on: those that apply to a single connection, and Content-Length and
-// Expect, because the router has read the body and frames it anew.
+// hopByHop are the header fields that are not passed on: those that apply to a single connection, and Content-Length
+// and Expect, because the router has read the body and sets its own framing.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
@@ -46,7 +46,7 @@
 // request's context is cancelled but the client can still be answered: net/http has cancelled the context of the whole
 // connection, so that the client of each later request would appear to have left.
 func (x *exchange) setConnectionClose(h http.Header) {
-	if x.front.phase.Load() != phaseServing || x.ctx.Err() != nil {
+	if x.handler.phase.Load() != phaseServing || x.ctx.Err() != nil {
 		h.Set("Connection", "close")
 	}
 }
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -39,7 +39,7 @@
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_first_event_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
-func (x *exchange) firstEvent() { x.front.Metrics.firstEvent(x.kind(), time.Since(x.began)) }
+func (x *exchange) firstEvent() { x.handler.Metrics.firstEvent(x.kind(), time.Since(x.began)) }
 
 // kind returns the value of the label for the route's kind.
 func (x *exchange) kind() string {
--- a/io/entry/plain.go
+++ b/io/entry/plain.go
@@ -50,7 +50,7 @@
 
 // tryPlain makes one attempt and reads the complete response.
 func (x *exchange) tryPlain(a *attempt) (response *plainResponse, p *request.Problem) {
-	err := x.send(a, x.attemptDeadline(), x.ask.LastEventID)
+	err := x.send(a, x.attemptDeadline(), x.request.LastEventID)
 	if err != nil {
 		v, ran := classifyError(err)
 		x.finishAttempt(a, v)
@@ -87,7 +87,7 @@
 func (x *exchange) refusedByEndpoint(a *attempt) *request.Problem {
 	if a.reply.WrongInstance {
 		// The address now belongs to another instance. The endpoint list will show that later.
-		x.front.Dispatcher.MarkReplaced(a.Endpoint().ID)
+		x.handler.Dispatcher.MarkReplaced(a.Endpoint().ID)
 	}
 	_, _ = a.response.ReadAll(maxResponseBytes)
 	x.finishAttempt(a, dispatch.Refused)
@@ -125,7 +125,7 @@
 func (x *exchange) writeResponse(response *plainResponse) {
 	h := x.w.Header()
 	copyResponseHeader(h, response.header)
-	if bodyAllowed(response.status) && x.ask.Method != http.MethodHead {
+	if bodyAllowed(response.status) && x.request.Method != http.MethodHead {
 		h.Set("Content-Length", strconv.Itoa(len(response.body)))
 	}
 	x.setConnectionClose(h)
--- a/io/entry/refuse.go
+++ b/io/entry/refuse.go
@@ -20,7 +20,7 @@
 	}
 	x.limitBodyDrain()
 	h := x.w.Header()
-	status := x.front.ClientProtocol.EncodeRefusal(p, h)
+	status := x.handler.ClientProtocol.EncodeRefusal(p, h)
 	h.Set("Content-Length", "0")
 	x.setConnectionClose(h)
 	x.w.WriteHeader(status)
@@ -69,23 +69,23 @@
 }
 
 func (x *exchange) recordServed(status int) {
-	x.front.Metrics.recordServed(x.kind(), status, time.Since(x.began))
+	x.handler.Metrics.recordServed(x.kind(), status, time.Since(x.began))
 	if x.sends > 1 {
-		_ = x.front.Logger.Log(field.Event, event.RequestServed, field.Request, x.ask.ID, field.Route, x.routeName(), field.Status, status,
+		_ = x.handler.Logger.Log(field.Event, event.RequestServed, field.Request, x.request.ID, field.Route, x.routeName(), field.Status, status,
 			field.Sends, x.sends, field.Endpoints, x.endpoints(), field.Version, x.version(), field.Ms, time.Since(x.began).Milliseconds())
 	}
 	if status >= http.StatusInternalServerError {
-		_ = x.front.Logger.Log(field.Event, event.RequestFailed, field.Request, x.ask.ID, field.Route, x.routeName(), field.Status, status,
+		_ = x.handler.Logger.Log(field.Event, event.RequestFailed, field.Request, x.request.ID, field.Route, x.routeName(), field.Status, status,
 			field.By, "endpoint", field.Endpoints, x.endpoints(), field.Ms, time.Since(x.began).Milliseconds())
 	}
 }
 
 // recordRefusal logs and counts a request that was not served.
 func (x *exchange) recordRefusal(status int, p *request.Problem) {
-	x.front.Metrics.recordRefused(x.kind(), p)
-	age, _ := x.front.Lease.Age(x.front.Clock())
+	x.handler.Metrics.recordRefused(x.kind(), p)
+	age, _ := x.handler.Lease.Age(x.handler.Clock())
 	line := []any{
-		field.Event, event.RequestRefused, field.Request, x.ask.ID, field.Route, x.routeName(), field.Status, status,
+		field.Event, event.RequestRefused, field.Request, x.request.ID, field.Route, x.routeName(), field.Status, status,
 		field.Reason, p.Reason, field.Outcome, p.Outcome, field.BackMs, p.RetryAfter.Milliseconds(), field.Sends, x.sends,
 		field.Endpoints, x.endpoints(), field.Version, x.version(), field.ReadAgeMs, age.Milliseconds(),
 		field.Ms, time.Since(x.began).Milliseconds(),
@@ -96,16 +96,16 @@
 	if x.conn != nil && x.conn.CloseReason() != "" {
 		line = append(line, x.conn.LogFields()...)
 	}
-	_ = x.front.Logger.Log(line...)
+	_ = x.handler.Logger.Log(line...)
 }
 
 // occupancyFields are the log fields with the load that a refusal for lack of capacity was based on.
 func (x *exchange) occupancyFields() []any {
 	now := time.Now()
-	taken, places := x.front.Dispatcher.Occupancy(x.service, now)
+	taken, places := x.handler.Dispatcher.Occupancy(x.service, now)
 	return []any{
 		field.Service, x.service, field.Rank, x.rank(), field.Account, x.accountName(), field.Taken, taken, field.Places, places,
-		field.LoadsAgeMs, x.front.Dispatcher.LoadReportAge(now).Milliseconds(),
+		field.LoadsAgeMs, x.handler.Dispatcher.LoadReportAge(now).Milliseconds(),
 	}
 }
 
--- a/io/entry/server.go
+++ b/io/entry/server.go
@@ -16,7 +16,7 @@
 
 // Server listens for clients and closes their idle connections according to the active configuration.
 type Server struct {
-	front   *Handler
+	handler *Handler
 	conns   *clientconn.Set
 	http    *http.Server
 	running background.Group
@@ -38,19 +38,19 @@
 var clientKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
 // NewServer creates a server and starts to listen on the address.
-func NewServer(address string, f *Handler) (s *Server, err error) {
+func NewServer(address string, h *Handler) (s *Server, err error) {
 	defer annotate.Error(&err, "listen for clients on %s", address)
 	listen := net.ListenConfig{KeepAliveConfig: clientKeepAlive}
 	l, err := listen.Listen(context.Background(), "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	return NewServerWithListener(l, f), nil
+	return NewServerWithListener(l, h), nil
 }
 
 // NewServerWithListener creates a server for the clients that the listener accepts.
-func NewServerWithListener(l net.Listener, f *Handler) (s *Server) {
-	s = &Server{front: f, http: &http.Server{Handler: f, MaxHeaderBytes: defaultMaxHeaderBytes}}
+func NewServerWithListener(l net.Listener, h *Handler) (s *Server) {
+	s = &Server{handler: h, http: &http.Server{Handler: h, MaxHeaderBytes: defaultMaxHeaderBytes}}
 	s.conns = clientconn.New(l, s.limits)
 	s.conns.Attach(s.http)
 	return s
@@ -74,14 +74,14 @@
 func (s *Server) serve(l net.Listener) {
 	err := s.http.Serve(l)
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-		_ = s.front.Logger.Log(field.Event, event.ListenerLost, field.Address, s.Address(), field.Err, err)
+		_ = s.handler.Logger.Log(field.Event, event.ListenerLost, field.Address, s.Address(), field.Err, err)
 	}
 }
 
 // sweep closes connections, to endpoints and of clients, that have been idle for too long, and those of clients that
 // take too long to send a header.
 func (s *Server) sweep(now time.Time) {
-	s.front.Pool.Sweep(now)
+	s.handler.Pool.Sweep(now)
 	s.conns.Sweep(now)
 }
 
@@ -89,7 +89,7 @@
 // connections may be idle without limit: their clients will retry when there is one.
 func (s *Server) limits() (l clientconn.Limits) {
 	l.HeaderTimeout = defaultHeaderTimeout
-	t := s.front.Configuration.Current()
+	t := s.handler.Configuration.Current()
 	if t == nil {
 		return l
 	}
@@ -125,9 +125,9 @@
 	part := func(share float64) time.Duration { return time.Duration(share * float64(grace)) }
 	ctx, cancel := context.WithTimeout(context.Background(), part(drainShare))
 	defer cancel()
-	s.front.SetUnready()
+	s.handler.SetUnready()
 	time.Sleep(part(leaveShare))
-	s.front.RefuseNew()
+	s.handler.RefuseNew()
 	s.linger(ctx, part(lingerShare))
 	_ = s.conns.Close()
 	_ = s.conns.Drain(ctx)
--- a/io/entry/stream.go
+++ b/io/entry/stream.go
@@ -25,9 +25,9 @@
 
 // forwardStream handles a request whose response is a stream of events.
 func (x *exchange) forwardStream() (p *request.Problem) {
-	s := &relay{x: x, lastEvent: x.ask.LastEventID}
+	s := &relay{x: x, lastEvent: x.request.LastEventID}
 	s.flusher, _ = x.w.(http.Flusher)
-	last, err := strconv.ParseInt(x.ask.LastEventID, 10, 64)
+	last, err := strconv.ParseInt(x.request.LastEventID, 10, 64)
 	s.lastID, s.hasLast = last, err == nil
 	done, p := x.tryEndpoints(s.try)
 	if done {
@@ -89,7 +89,7 @@
 // endpoint.
 func (s *relay) silenceWatch(a *attempt) (w *silenceWatch) {
 	x := s.x
-	w = &silenceWatch{attempt: a, canMove: func() bool { return x.front.canMove(x.service, a) }}
+	w = &silenceWatch{attempt: a, canMove: func() bool { return x.handler.canMove(x.service, a) }}
 	if x.route.Kind.Repeatable() && x.sends+1 < x.route.MaxAttempts {
 		w.start()
 	}
@@ -97,9 +97,9 @@
 }
 
 // canMove reports whether another endpoint of the service could continue the stream of the attempt now.
-func (f *Handler) canMove(service string, a *attempt) bool {
+func (h *Handler) canMove(service string, a *attempt) bool {
 	now := time.Now()
-	return f.Retries.Remaining(service, now) >= 1 && f.Dispatcher.HasCapacityElsewhere(service, a.Endpoint().ID, now)
+	return h.Retries.Remaining(service, now) >= 1 && h.Dispatcher.HasCapacityElsewhere(service, a.Endpoint().ID, now)
 }
 
 // errNotForwardable is returned if the events could not be forwarded to the client as received.
