--- a/io/fleet/answers_test.go
+++ b/io/fleet/answers_test.go
@@ -98,8 +98,9 @@
 	return engine.ExpectedAnswer(fmt.Appendf(nil, `[{"role":"user","content":%q}]`, text))
 }
 
-// The engine's first response carries the attempt ID of another request, as when responses on a connection get mixed up.
-// The router drops it, closes the connection and retries at another engine; the client gets its own complete response.
+// The engine's first response carries the attempt ID of another request, as when responses on a connection get mixed
+// up. The router drops it, closes the connection and retries at another engine; the client gets its own complete
+// response.
 func TestMismatchedResponseIsDropped(t *testing.T) {
 	f := startFleetWithLimits(t, 3, 0, "")
 	f.Engine("engine-01").SetFaults(engine.Faults{WrongAttemptNext: 1})
@@ -110,8 +111,8 @@
 	}
 }
 
-// One engine responds only after the first-token timeout, while the next request is already in flight. The late response
-// must not be delivered to that request; every client gets its own complete response.
+// One engine responds only after the first-token timeout, while the next request is already in flight. The late
+// response must not be delivered to that request; every client gets its own complete response.
 func TestLateResponseIsDropped(t *testing.T) {
 	f := startFleetWithLimits(t, 2, 0, "firstToken = \"100ms\"\n")
 	for name, e := range f.Engines() {
@@ -225,9 +226,9 @@
 	}
 }
 
-// Five of six processes of a plain service die and the router has not detected it yet. A refused connection does not count
-// as an attempt, since the process never received the call: with attempts = 1 the call still reaches the process that is
-// left. A non-idempotent call does so too, and runs once.
+// Five of six processes of a plain service die and the router has not detected it yet. A refused connection does not
+// count as an attempt, since the process never received the call: with attempts = 1 the call still reaches the process
+// that is left. A non-idempotent call does so too, and runs once.
 func TestCallSkipsUnreachableServices(t *testing.T) {
 	f := startFleetWithLimits(t, 0, 6, "attempts = 1\n")
 	for i := range 5 {
--- a/io/fleet/bodies_test.go
+++ b/io/fleet/bodies_test.go
@@ -25,8 +25,8 @@
 	}})
 }
 
-// addSlowEndpoint adds an endpoint of a service at /slow. It waits for delay before it reads a body, and sends the result of
-// each read to readResults.
+// addSlowEndpoint adds an endpoint of a service at /slow. It waits for delay before it reads a body, and sends the
+// result of each read to readResults.
 func addSlowEndpoint(t *testing.T, f *fleet.Fleet, delay time.Duration) (readResults chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +60,7 @@
 address = %q
 failureDomain = "a"
 `, l.Addr().String()))
-	waitFor(t, "the note is in force", func() bool { return inForce(t, f, "second") })
+	waitFor(t, "the release note is in force", func() bool { return inForce(t, f, "second") })
 	return readResults
 }
 
@@ -94,9 +94,9 @@
 
 const largeBodyBytes = 16 << 20
 
-// A client sends a large body at once, and a busy endpoint reads it slowly. The router counted the time that the endpoint took
-// against the client's body timeout: it aborted the forwarded call and treated the connected client as gone. The connection
-// must serve the next call as well.
+// A client sends a large body at once, and a busy endpoint reads it slowly. The router counted the time that the
+// endpoint took against the client's body timeout: it aborted the forwarded call and treated the connected client as
+// gone. The connection must serve the next call as well.
 func TestSlowEndpointDoesNotCountAsSlowClient(t *testing.T) {
 	f := startBodyFleet(t, 500*time.Millisecond)
 	read := addSlowEndpoint(t, f, 1500*time.Millisecond)
@@ -109,8 +109,8 @@
 	}
 }
 
-// A client sends the beginning of a large body, which is forwarded, and then nothing. The router treated it as disconnected;
-// it must get a 408 with the outcome unknown, since its call may have run.
+// A client sends the beginning of a large body, which is forwarded, and then nothing. The router treated it as
+// disconnected; it must get a 408 with the outcome unknown, since its call may have run.
 func TestSlowClientWithLargeBodyGetsRequestTimeout(t *testing.T) {
 	f := startBodyFleet(t, 500*time.Millisecond)
 	addSlowEndpoint(t, f, 0)
@@ -124,9 +124,9 @@
 	assert.Assert(t, time.Since(began) < 2*time.Second)
 }
 
-// Sends many large bodies on one connection. The read deadlines that the router sets must not outlive the bodies, and must not
-// interfere with the background read of net/http, which detects a disconnect and is itself ended by a deadline before the next
-// request.
+// Sends many large bodies on one connection. The read deadlines that the router sets must not outlive the bodies, and
+// must not interfere with the background read of net/http, which detects a disconnect and is itself ended by a deadline
+// before the next request.
 func TestLargeBodiesOnOneConnection(t *testing.T) {
 	f := startBodyFleet(t, 500*time.Millisecond)
 	read := addSlowEndpoint(t, f, 0)
@@ -140,9 +140,9 @@
 	}
 }
 
-// A client sends its header and holds back the body, which the response does not depend on: the key is wrong, the path is
-// unknown or the handler ignores bodies. Before net/http sends a response it reads the rest of the body without a time limit,
-// so that the client got the response only after it had sent its body, or never.
+// A client sends its header and holds back the body, which the response does not depend on: the key is wrong, the path
+// is unknown or the handler ignores bodies. Before net/http sends a response it reads the rest of the body without a
+// time limit, so that the client got the response only after it had sent its body, or never.
 func TestResponseDoesNotWaitForUnreadBody(t *testing.T) {
 	f := startBodyFleet(t, 5*time.Second)
 	const length = "Host: x\r\nContent-Length: 100\r\n\r\n{"
--- a/io/fleet/claims_test.go
+++ b/io/fleet/claims_test.go
@@ -25,8 +25,8 @@
 	body       string
 }
 
-// callNonIdempotent calls NonIdempotentPath through one router with an idempotency key; extra holds pairs of header names and
-// values.
+// callNonIdempotent calls NonIdempotentPath through one router with an idempotency key; extra holds pairs of header
+// names and values.
 func callNonIdempotent(t *testing.T, f *fleet.Fleet, router int, key, body string, extra ...string) response {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost,
@@ -64,8 +64,8 @@
 	}})
 }
 
-// Ten clients send the same call through three routers at once. Each gets the recorded response, or a conflict while the call is
-// pending; the service runs it once. The same key with another body is rejected.
+// Ten clients send the same call through three routers at once. Each gets the recorded response, or a conflict while
+// the call is pending; the service runs it once. The same key with another body is rejected.
 func TestSameIdempotencyKeyRunsOnceAcrossRouters(t *testing.T) {
 	f := startClaimFleet(t, 3)
 	for round := range 5 {
@@ -85,8 +85,8 @@
 	}
 }
 
-// The log stores the claim, but its response to the append is lost. The router reads the claim back instead of appending a
-// second one, and the client is served.
+// The log stores the claim, but its response to the append is lost. The router reads the claim back instead of
+// appending a second one, and the client is served.
 func TestLostAppendResponseIsReadBack(t *testing.T) {
 	f := startClaimFleet(t, 1)
 	f.Log.SetFaults(logservice.Faults{DropAnswers: 1})
@@ -109,8 +109,8 @@
 	assert.Equal(t, executions(f, "k"), 1)
 }
 
-// The service runs the call and breaks the connection before it responds. The client gets unknown, and so does every retry of the
-// key through any router; the call does not run again.
+// The service runs the call and breaks the connection before it responds. The client gets unknown, and so does every
+// retry of the key through any router; the call does not run again.
 func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	f := startClaimFleet(t, 2)
 	for _, s := range f.Services() {
@@ -127,8 +127,8 @@
 	assert.Equal(t, executions(f, "k"), 1)
 }
 
-// A router dies while a call that it claimed is running, and the client loses its connection. A retry of the key through another
-// router gets unknown and does not run, since the outcome of the first call is not known.
+// A router dies while a call that it claimed is running, and the client loses its connection. A retry of the key
+// through another router gets unknown and does not run, since the outcome of the first call is not known.
 func TestRouterCrashWithPendingClaim(t *testing.T) {
 	f := startClaimFleet(t, 2)
 	for _, s := range f.Services() {
@@ -169,8 +169,8 @@
 	assert.Equal(t, executions(f, "k"), 1)
 }
 
-// The log trimmed claims before their retention ended. A key that may have been claimed among them is rejected, a key that
-// was created since is accepted, and a key older than the retention is always rejected.
+// The log trimmed claims before their retention ended. A key that may have been claimed among them is rejected, a key
+// that was created since is accepted, and a key older than the retention is always rejected.
 func TestKeysOutsideRetentionAreRejected(t *testing.T) {
 	f := startPartitionedFleet(t, 1, 1)
 	assert.Equal(t, callNonIdempotent(t, f, 0, "old", "permit").status, http.StatusOK)
--- a/io/fleet/clients_test.go
+++ b/io/fleet/clients_test.go
@@ -62,8 +62,9 @@
 
 const completionsPath = "/v1/chat/completions"
 
-// Clients disconnect at every stage: within the header, within the body, before the first token and within the stream. The
-// engines become idle, the routers count no request as active or waiting, and no goroutine is left after the fleet has stopped.
+// Clients disconnect at every stage: within the header, within the body, before the first token and within the stream.
+// The engines become idle, the routers count no request as active or waiting, and no goroutine is left after the fleet
+// has stopped.
 func TestClientDisconnectLeaksNothing(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("fleet", func(t *testing.T) {
--- a/io/fleet/configuration_test.go
+++ b/io/fleet/configuration_test.go
@@ -27,28 +27,28 @@
 	return s
 }
 
-func inForce(t *testing.T, f *fleet.Fleet, noteID string) bool {
+func inForce(t *testing.T, f *fleet.Fleet, releaseNoteID string) bool {
 	t.Helper()
 	for _, r := range f.Routers() {
-		if status(t, r).Release.Note != noteID {
+		if status(t, r).Release.Note != releaseNoteID {
 			return false
 		}
 	}
 	return true
 }
 
-func addModelNote(id, basedOn, model string) string {
+func addModelReleaseNote(id, basedOn, model string) string {
 	return fmt.Sprintf("id = %q\nbasedOn = %q\n[[added.models]]\nname = %q\n", id, basedOn, model)
 }
 
-// The log is slow for one router only, which still applies the note in time because its peers send it.
+// The log is slow for one router only, which still applies the release note in time because its peers send it.
 func TestPeersDeliverNotesWhenLogIsSlow(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	f.Log.SetFaults(logservice.Faults{DelayMs: 60_000, SlowReaders: []string{"entry-2"}})
 	// The long poll that is already pending returns at once; only the reads after it are slow.
-	f.Publish(t.Context(), addModelNote("second", "first", "sur-small"))
+	f.Publish(t.Context(), addModelReleaseNote("second", "first", "sur-small"))
 	waitFor(t, "second is in force everywhere", func() bool { return inForce(t, f, "second") })
-	f.Publish(t.Context(), addModelNote("third", "second", "sur-tiny"))
+	f.Publish(t.Context(), addModelReleaseNote("third", "second", "sur-tiny"))
 	waitFor(t, "third is in force everywhere", func() bool { return inForce(t, f, "third") })
 	assert.Equal(t, status(t, f.Routers()[1]).Release.Source, "peer")
 	digests := map[string]bool{}
@@ -58,7 +58,8 @@
 	assert.Equal(t, len(digests), 1)
 }
 
-// Two operators publish conflicting notes at the same time. The same one of them comes into force on every router.
+// Two operators publish conflicting release notes at the same time. The same one of them comes into force on every
+// router.
 func TestConflictingNotesResolveEquallyOnAllRouters(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	for round := range 5 {
@@ -66,10 +67,10 @@
 		model := fmt.Sprint("racing-", round)
 		var both sync.WaitGroup
 		for _, who := range []string{"lenasur", "harrowmere"} {
-			both.Go(func() { f.Publish(t.Context(), addModelNote(fmt.Sprint(who, round), base, model)) })
+			both.Go(func() { f.Publish(t.Context(), addModelReleaseNote(fmt.Sprint(who, round), base, model)) })
 		}
 		both.Wait()
-		waitFor(t, "one of the two notes is in force everywhere", func() bool {
+		waitFor(t, "one of the two release notes is in force everywhere", func() bool {
 			return inForce(t, f, fmt.Sprint("lenasur", round)) || inForce(t, f, fmt.Sprint("harrowmere", round))
 		})
 	}
@@ -87,8 +88,9 @@
 	assert.Equal(t, status(t, r).Release.Source, "peer")
 }
 
-// All routers are lost at once and replaced by new VMs, and the first notes are trimmed from the log. The new routers recover
-// the configuration from the snapshot that the lost ones wrote and the records after it. A key that ran does not run again.
+// All routers are lost at once and replaced by new VMs, and the first release notes are trimmed from the log. The new
+// routers recover the configuration from the snapshot that the lost ones wrote and the records after it. A key that ran
+// does not run again.
 func TestReplaceAllRouters(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1, Services: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
@@ -97,7 +99,7 @@
 	assert.Equal(t, callNonIdempotent(t, f, 0, "k", "permit").status, http.StatusOK)
 	releaseBefore := status(t, f.Routers()[0]).Release
 	waitFor(t, "a snapshot is on the log", func() bool { return hasSnapshot(f) })
-	f.Publish(t.Context(), addModelNote("second", "first", "sur-small"))
+	f.Publish(t.Context(), addModelReleaseNote("second", "first", "sur-small"))
 	for _, r := range f.Routers() {
 		f.KillRouter(r)
 	}
@@ -106,7 +108,7 @@
 		_, err := f.AddRouter(t.Context())
 		assert.NilError(t, err)
 	}
-	waitFor(t, "the note is in force on the new routers", func() bool { return inForce(t, f, "second") })
+	waitFor(t, "the release note is in force on the new routers", func() bool { return inForce(t, f, "second") })
 	assert.Equal(t, complete(t, f, "back #5"), want("back #5"))
 	waitFor(t, "the key gets its recorded response", func() bool { return callNonIdempotent(t, f, 1, "k", "permit").status == http.StatusOK })
 	assert.Equal(t, executions(f, "k"), 1)
@@ -121,7 +123,8 @@
 	return false
 }
 
-// While the log is down and there is no peer, a new VM is not ready and rejects requests; it recovers when the log is back.
+// While the log is down and there is no peer, a new VM is not ready and rejects requests; it recovers when the log is
+// back.
 func TestNewVMWithoutLogOrPeersRejectsRequests(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 1})
 	f.Log.SetFaults(logservice.Faults{Down: true})
@@ -141,8 +144,8 @@
 
 const burstSize = 300
 
-// Publishes hundreds of notes, each based on the one before, while the log is slow for all routers. Every router applies them
-// all in order.
+// Publishes hundreds of release notes, each based on the one before, while the log is slow for all routers. Every
+// router applies them all in order.
 func TestNoteBurstIsAppliedInOrder(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	f.Log.SetFaults(logservice.Faults{DelayMs: 20})
@@ -150,9 +153,9 @@
 	base := "first"
 	for n := range burstSize {
 		id := fmt.Sprint("note-", n)
-		f.Publish(t.Context(), addModelNote(id, base, fmt.Sprint("m", n)))
+		f.Publish(t.Context(), addModelReleaseNote(id, base, fmt.Sprint("m", n)))
 		base = id
 	}
-	waitFor(t, "the last note is in force everywhere", func() bool { return inForce(t, f, base) })
+	waitFor(t, "the last release note is in force everywhere", func() bool { return inForce(t, f, base) })
 	t.Logf("%d notes in force on 3 routers after %v", burstSize, time.Since(began))
 }
--- a/io/fleet/fleet.go
+++ b/io/fleet/fleet.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Start starts the simulated services and endpoints, publishes the first release note, starts the routers and waits until
-// all of them are ready.
+// Start starts the simulated services and endpoints, publishes the first release note, starts the routers and waits
+// until all of them are ready.
 func (f *Fleet) Start(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "start fleet")
 	f.dir, err = os.MkdirTemp("", "savoryfall")
--- a/io/fleet/leaving_test.go
+++ b/io/fleet/leaving_test.go
@@ -32,9 +32,9 @@
 	return resp
 }
 
-// A stopping router keeps serving for its lame duck period. Its responses lacked "Connection: close", so that clients with
-// keep-alive connections were still sending requests when the server closed them. Every response must carry it, including those
-// to requests that arrived before the stop.
+// A stopping router keeps serving for its lame duck period. Its responses lacked "Connection: close", so that clients
+// with keep-alive connections were still sending requests when the server closed them. Every response must carry it,
+// including those to requests that arrived before the stop.
 func TestDrainingRouterClosesClientConnections(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 2, Engines: 1, Services: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"2s\"\n", "routing": "probePeriod = \"200ms\"\n",
@@ -80,8 +80,8 @@
 	assert.NilError(t, <-stopped)
 }
 
-// An operator's connection has sent an incomplete header when a router is stopped. The operators' server is shut down first: it
-// waited for this connection until the stop timeout, which left no time to drain the clients' connections.
+// An operator's connection has sent an incomplete header when a router is stopped. The operators' server is shut down
+// first: it waited for this connection until the stop timeout, which left no time to drain the clients' connections.
 func TestOperatorConnectionDoesNotDelayStop(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 1})
 	leaving := f.Routers()[0]
--- a/io/fleet/lifecycle.go
+++ b/io/fleet/lifecycle.go
@@ -38,7 +38,8 @@
 	return ""
 }
 
-// StartEngine starts an engine with an empty cache at the address. An earlier engine of the same name must have been killed.
+// StartEngine starts an engine with an empty cache at the address. An earlier engine of the same name must have been
+// killed.
 func (f *Fleet) StartEngine(ctx context.Context, name, address string) (err error) {
 	defer annotate.Error(&err, "start engine %s", name)
 	o := f.opts.Engine
@@ -67,8 +68,8 @@
 	return address
 }
 
-// KillEngines kills several engines at once. All of them stop accepting connections first, so that a request that one of
-// them loses cannot be retried at another that is about to be killed.
+// KillEngines kills several engines at once. All of them stop accepting connections first, so that a request that one
+// of them loses cannot be retried at another that is about to be killed.
 func (f *Fleet) KillEngines(names ...string) {
 	f.mu.Lock()
 	for _, name := range names {
--- a/io/fleet/members_test.go
+++ b/io/fleet/members_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// Two routers cannot reach each other, but both reach a third. Neither is marked dead, because the third still hears them.
+// Two routers cannot reach each other, but both reach a third. Neither is marked dead, because the third still hears
+// them.
 func TestPartitionBetweenTwoRoutersMarksNeitherDead(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	a, b := f.Routers()[0], f.Routers()[1]
@@ -76,8 +77,8 @@
 	assert.Assert(t, seen["alive"] && !seen["dead"], "%v", seen)
 }
 
-// An engine announces that it is leaving. No router sends it new requests, and the mark is not removed when the engine stops
-// announcing it.
+// An engine announces that it is leaving. No router sends it new requests, and the mark is not removed when the engine
+// stops announcing it.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 2})
 	f.Engine("engine-01").SetFaults(engine.Faults{Leaving: true})
@@ -92,8 +93,8 @@
 	assert.Equal(t, endpointState(t, f.Routers()[0], "engine-01"), health.Leaving, "a leaving mark is never removed")
 }
 
-// The VM list shows an engine's VM as leaving. The mark reaches all routers, and does not apply to the engine that is started
-// in its place, although the list still shows the mark.
+// The VM list shows an engine's VM as leaving. The mark reaches all routers, and does not apply to the engine that is
+// started in its place, although the list still shows the mark.
 func TestListedMarkAndItsSuccessor(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 2, Engines: 2, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
@@ -108,8 +109,8 @@
 	waitFor(t, "the successor is up everywhere", func() bool { return healthEverywhere(t, f, health.Up) })
 }
 
-// startStreams starts n streams of the given number of tokens, each of which must arrive complete. The test must wait for the
-// returned group.
+// startStreams starts n streams of the given number of tokens, each of which must arrive complete. The test must wait
+// for the returned group.
 func startStreams(t *testing.T, f *fleet.Fleet, n, tokens int) (all *sync.WaitGroup) {
 	t.Helper()
 	all = &sync.WaitGroup{}
@@ -124,8 +125,8 @@
 	return all
 }
 
-// startStreamsOn starts streams until some are seen running on the engine. On a busy machine all streams of one round may end
-// before the check.
+// startStreamsOn starts streams until some are seen running on the engine. On a busy machine all streams of one round
+// may end before the check.
 func startStreamsOn(t *testing.T, f *fleet.Fleet, name string, n, tokens int) (all *sync.WaitGroup) {
 	t.Helper()
 	var ended atomic.Bool
@@ -144,8 +145,8 @@
 	return all
 }
 
-// An engine is killed while streams run on it. Their clients get the rest from another engine, and every router marks the killed
-// engine as down.
+// An engine is killed while streams run on it. Their clients get the rest from another engine, and every router marks
+// the killed engine as down.
 func TestKilledEngine(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 3})
 	all := startStreamsOn(t, f, "engine-01", 12, 200)
@@ -154,8 +155,8 @@
 	waitFor(t, "engine-01 is down everywhere", func() bool { return healthEverywhere(t, f, health.Down) })
 }
 
-// An engine hangs as a frozen process does: its connections stay open, but it sends nothing. All requests are answered by the
-// other engine.
+// An engine hangs as a frozen process does: its connections stay open, but it sends nothing. All requests are answered
+// by the other engine.
 func TestFrozenEngine(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 2, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"0s\"\n", "routing": "probePeriod = \"200ms\"\n",
@@ -168,8 +169,8 @@
 	}
 }
 
-// A router is stopped while a long stream runs through it. Its readiness check fails, the stream arrives complete, and the peers
-// report the router as leaving, not dead.
+// A router is stopped while a long stream runs through it. Its readiness check fails, the stream arrives complete, and
+// the peers report the router as leaving, not dead.
 func TestGracefulStopCompletesStreams(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1, ExtraSettings: map[string]string{
 		"peers": fastPeers, "callers": "lameDuck = \"300ms\"\n", "routing": "probePeriod = \"200ms\"\n",
@@ -194,8 +195,8 @@
 	}
 }
 
-// Five of six engines are killed at once while streams run on all of them. A retry may reach several dead engines in a row; all
-// clients get complete responses from the engine that is left.
+// Five of six engines are killed at once while streams run on all of them. A retry may reach several dead engines in a
+// row; all clients get complete responses from the engine that is left.
 func TestStreamsSurviveLossOfMostEngines(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 1, Engines: 6})
 	all := startStreams(t, f, 18, 300)
--- a/io/fleet/orders_test.go
+++ b/io/fleet/orders_test.go
@@ -31,7 +31,7 @@
 	return true
 }
 
-func replaceVersionNote(id, basedOn, added, withdrawn string) string {
+func replaceVersionReleaseNote(id, basedOn, added, withdrawn string) string {
 	text := fmt.Sprintf("id = %q\nbasedOn = %q\n[[added.versions]]\nmodel = \"sur-large\"\nname = %q\n", id, basedOn, added)
 	if withdrawn != "" {
 		text += fmt.Sprintf("[withdrawn]\nversions = [\"sur-large@%s\"]\n", withdrawn)
@@ -39,17 +39,17 @@
 	return text
 }
 
-// A note adds a version and the next one replaces it; routers that hold the leases order the engines of all failure domains to load
-// it while clients are served. Two routers, which may hold leases, are killed in between.
+// A release note adds a version and the next one replaces it; routers that hold the leases order the engines of all
+// failure domains to load it while clients are served. Two routers, which may hold leases, are killed in between.
 func TestRolloutContinuesAfterLeaseHoldersDie(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checksFence=%t", checks), func(t *testing.T) {
 			f := startOrdersFleet(t, checks)
-			f.Publish(t.Context(), replaceVersionNote("v1", "first", "v1", ""))
+			f.Publish(t.Context(), replaceVersionReleaseNote("v1", "first", "v1", ""))
 			waitFor(t, "v1 is loaded everywhere", func() bool { return allEnginesLoaded(f, "sur-large@v1") })
 			f.KillRouter(f.Routers()[0])
 			f.KillRouter(f.Routers()[0])
-			f.Publish(t.Context(), replaceVersionNote("v2", "v1", "v2", "v1"))
+			f.Publish(t.Context(), replaceVersionReleaseNote("v2", "v1", "v2", "v1"))
 			waitFor(t, "v2 is loaded everywhere", func() bool {
 				assert.Equal(t, complete(t, f, "during #3"), want("during #3"))
 				return allEnginesLoaded(f, "sur-large@v2")
--- a/io/fleet/recovery_test.go
+++ b/io/fleet/recovery_test.go
@@ -19,8 +19,9 @@
 	"savoryfall/io/standin/logservice"
 )
 
-// BenchmarkRecovery measures how long the fleet takes to detect a failure or to recover from one, with default settings and
-// without client traffic, which would reveal a failure sooner. It reports seconds as metrics; run it with -benchtime 5x.
+// BenchmarkRecovery measures how long the fleet takes to detect a failure or to recover from one, with default settings
+// and without client traffic, which would reveal a failure sooner. It reports seconds as metrics; run it with
+// -benchtime 5x.
 func BenchmarkRecovery(b *testing.B) {
 	for _, tc := range []struct {
 		name string
@@ -113,9 +114,9 @@
 func publishWithSlowLog(b *testing.B, f *fleet.Fleet) time.Duration {
 	f.Log.SetFaults(logservice.Faults{DelayMs: 20_000, SlowReaders: []string{"entry-1", "entry-2", "entry-3"}})
 	// The long polls that are already pending return at once; only the reads after them are slow.
-	f.Publish(b.Context(), addModelNote("second", "first", "sur-small"))
+	f.Publish(b.Context(), addModelReleaseNote("second", "first", "sur-small"))
 	waitForAll(b, f, func(s operator.Status) bool { return s.Release.Note == "second" })
-	f.Publish(b.Context(), addModelNote("third", "second", "sur-tiny"))
+	f.Publish(b.Context(), addModelReleaseNote("third", "second", "sur-tiny"))
 	return waitForAll(b, f, func(s operator.Status) bool { return s.Release.Note == "third" })
 }
 
@@ -125,7 +126,7 @@
 		if n > 0 {
 			base = fmt.Sprint("note-", n-1)
 		}
-		f.Publish(b.Context(), addModelNote(fmt.Sprint("note-", n), base, fmt.Sprint("m", n)))
+		f.Publish(b.Context(), addModelReleaseNote(fmt.Sprint("note-", n), base, fmt.Sprint("m", n)))
 	}
 	for _, r := range f.Routers() {
 		f.KillRouter(r)
--- a/io/fleet/tls_test.go
+++ b/io/fleet/tls_test.go
@@ -43,8 +43,8 @@
 	return certFile, keyFile
 }
 
-// Clients are served over TLS, and peers use mutual TLS: a peer without a certificate, or with one from another authority, is
-// rejected.
+// Clients are served over TLS, and peers use mutual TLS: a peer without a certificate, or with one from another
+// authority, is rejected.
 func TestTLS(t *testing.T) {
 	cert, key := certificate(t, "fleet")
 	files := fmt.Sprintf("certificate = %q\nkey = %q\n", cert, key)
