--- a/io/follow/follower.go
+++ b/io/follow/follower.go
@@ -45,7 +45,7 @@
 	// Grace is how long a router that knows of newer records waits to receive them from the hub before it reads
 	// them itself.
 	Grace time.Duration
-	// MaxAge is the age at which a router reads the topic itself, if nobody else reads for it.
+	// MaxAge is the age at which a router reads the topic itself, if no other router reads for it.
 	MaxAge time.Duration
 	// StartupWait is how long a starting router without data waits for another router to send it.
 	StartupWait time.Duration
