--- a/io/http1/pool.go
+++ b/io/http1/pool.go
@@ -19,10 +19,10 @@
 // does not tell whether bytes of a request were sent, and it may return a response that arrives late on a persistent
 // connection to the next request.
 type Pool struct {
-	connect func(ctx context.Context, address string) (net.Conn, error)
-	mu      sync.Mutex
-	idle    map[string][]*conn
-	dials   uint64
+	connect           func(ctx context.Context, address string) (net.Conn, error)
+	mu                sync.Mutex
+	idle              map[string][]*conn
+	connectionsOpened uint64
 }
 
 const (
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	p.mu.Lock()
-	p.dials++
+	p.connectionsOpened++
 	p.mu.Unlock()
 	return &conn{Conn: raw, r: bufio.NewReaderSize(raw, readBufferSize), address: address}, nil
 }
@@ -186,5 +186,5 @@
 func (p *Pool) ConnectionsOpened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dials
+	return p.connectionsOpened
 }
