--- a/io/hub/agent.go
+++ b/io/hub/agent.go
@@ -23,7 +23,7 @@
 
 // TopicReader reads one topic of the store, either directly or from what the hub sends.
 type TopicReader interface {
-	SetLeader(lead bool)
+	SetLeader(leader bool)
 	Position() (next int64, sent time.Duration, ok bool)
 	ConfirmEnd(next int64, sent time.Duration)
 	AdvanceTo(next int64, sent time.Duration)
@@ -70,8 +70,8 @@
 	Registry      TopicReader
 	// CurrentRecord returns the record that the configuration in force was decoded from.
 	CurrentRecord func() *compactedlog.Record
-	// OtherRecords returns the other records of the configuration topic that are in force. It is nil if the topic never has
-	// any.
+	// OtherRecords returns the other records of the configuration topic that are in force. It is nil if the topic never
+	// has any.
 	OtherRecords func() []compactedlog.Record
 	Endpoints    Endpoints
 	Loads        Loads
@@ -94,7 +94,7 @@
 type Agent struct {
 	Config
 	listener         net.Listener
-	board            fleetload.Aggregator
+	aggregator       fleetload.Aggregator
 	ledger           fleetload.VersionedTotals
 	readers          readrotation.Rotation
 	compressionCache compressionCache
@@ -113,7 +113,7 @@
 	stopped      bool
 	// readsStore is set if this router reads the store, because it has no hub or its hub asked it to.
 	readsStore bool
-	// hubFailing is set if whoever reads the store for the hub cannot.
+	// hubFailing is set if no router that reads for the hub can read the store.
 	hubFailing bool
 	// pendingReads and joinedRouters were received here and have not been accepted by a hub yet.
 	pendingReads  []fleetload.PrefixRead
@@ -126,14 +126,14 @@
 }
 
 // New binds the listen address immediately.
-func New(p Config) (a *Agent, err error) {
-	defer annotate.Error(&err, "listen for routers on %s", p.ListenAddress)
-	a = &Agent{Config: p, accepted: map[net.Conn]bool{}, newsCh: make(chan struct{}), listLoaded: make(chan struct{}), epoch: newEpoch(p.Self.Name, time.Now())}
+func New(c Config) (a *Agent, err error) {
+	defer annotate.Error(&err, "listen for routers on %s", c.ListenAddress)
+	a = &Agent{Config: c, accepted: map[net.Conn]bool{}, newsCh: make(chan struct{}), listLoaded: make(chan struct{}), epoch: newEpoch(c.Self.Name, time.Now())}
 	if a.Network == nil {
 		a.Network = tcp{}
 	}
-	a.Members.Put(p.Self)
-	a.listener, err = a.Network.Listen(p.ListenAddress)
+	a.Members.Put(c.Self)
+	a.listener, err = a.Network.Listen(c.ListenAddress)
 	return a, err
 }
 
@@ -264,18 +264,18 @@
 	recheckInterval = 250 * time.Millisecond
 )
 
-// runAsRoot runs one round of a router that has no hub: it reports to its own board.
+// runAsRoot runs one round of a router that has no hub: it reports to its own aggregator.
 func (a *Agent) runAsRoot(ctx context.Context) {
 	a.setHub(a.Self.Name, true, false)
 	now := time.Now()
 	own := a.Loads.OwnWorkload(now)
 	newReads := a.Loads.TakeReads()
-	a.board.AddReport(a.Self.Name, own, newReads, now)
-	total, _ := a.board.Totals(now)
+	a.aggregator.AddReport(a.Self.Name, own, newReads, now)
+	total, _ := a.aggregator.Totals(now)
 	a.Loads.SetFleetWorkload(total, own, now)
 	state := a.hubState.forEpoch(a.epoch)
 	var reads []fleetload.PrefixRead
-	reads, state.Reads = a.board.ReadsSince(state.Reads)
+	reads, state.Reads = a.aggregator.ReadsSince(state.Reads)
 	a.Loads.RecordReads(reads)
 	a.mu.Lock()
 	a.pendingReads, a.joinedRouters = nil, nil
@@ -286,8 +286,8 @@
 	background.Sleep(ctx, rootPeriod, nil)
 }
 
-// setHub records which hub this router reports to, whether it reads the store itself, and whether whoever reads for
-// the hub cannot.
+// setHub records which hub this router reports to, whether it reads the store itself, and whether no router that reads
+// for the hub can read the store.
 func (a *Agent) setHub(hub string, readsStore, hubFailing bool) {
 	a.mu.Lock()
 	a.hubFailing = hubFailing
--- a/io/hub/agent_test.go
+++ b/io/hub/agent_test.go
@@ -39,16 +39,16 @@
 	mu           sync.Mutex
 	next         int64
 	age          time.Duration
-	lead         bool
+	leader       bool
 	wants        bool
 	failing      bool
 	givenRecords int
 }
 
-func (f *fakeTopic) SetLeader(lead bool) {
+func (f *fakeTopic) SetLeader(leader bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lead = lead
+	f.leader = leader
 }
 
 func (f *fakeTopic) Position() (next int64, sent time.Duration, ok bool) {
@@ -92,11 +92,11 @@
 	return f.givenRecords
 }
 
-// fakeRegistry records the endpoints fed to it.
+// fakeRegistry records the endpoints of the changes applied to it.
 type fakeRegistry struct {
 	mu      sync.Mutex
 	changes fleetload.ChangeLog
-	fed     map[string]bool
+	usable  map[string]bool
 }
 
 func (e *fakeRegistry) Changes() *fleetload.ChangeLog { return &e.changes }
@@ -105,14 +105,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range changes {
-		e.fed[c.Entry.ID] = c.Usable
+		e.usable[c.Entry.ID] = c.Usable
 	}
 }
 
 func (e *fakeRegistry) has(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.fed[id]
+	return e.usable[id]
 }
 
 // fakeLoads reports one request running at one endpoint.
@@ -180,7 +180,7 @@
 	n := lastAddress.Add(1)
 	address := fmt.Sprintf("127.%d.%d.%d:20201", 1+os.Getpid()%250, 1+n/250, 1+n%250)
 	r := &testRouter{record: &compactedlog.Record{Key: "c"}}
-	r.fakeRegistry.fed = map[string]bool{}
+	r.fakeRegistry.usable = map[string]bool{}
 	set(r)
 	var err error
 	r.agent, err = hub.New(hub.Config{
@@ -239,10 +239,10 @@
 // eighty calls. A large configuration is sent only to routers that cannot read it, to spare the hub's link.
 func TestLargeConfigurationIsGivenOnlyToWhoCannotRead(t *testing.T) {
 	for _, c := range []struct {
-		size    int
-		failing bool
-		given   bool
-	}{{size: 10 << 10, given: true}, {size: 1 << 20}, {size: 1 << 20, failing: true, given: true}} {
+		size         int
+		failing      bool
+		snapshotSent bool
+	}{{size: 10 << 10, snapshotSent: true}, {size: 1 << 20}, {size: 1 << 20, failing: true, snapshotSent: true}} {
 		l := &fakeRouterTopic{values: map[string][]byte{}}
 		startRouter(t, l, "big", 4, func(r *testRouter) {
 			readUpTo(5, 0)(r)
@@ -255,7 +255,7 @@
 			r.configuration.wants, r.configuration.failing = true, c.failing
 		})
 		waitFor(t, "the hub has answered", func() bool { return small.fakeLoads.running() == 2 })
-		assert.Equal(t, small.configuration.gotRecords() == 1, c.given, "%d bytes", c.size)
+		assert.Equal(t, small.configuration.gotRecords() == 1, c.snapshotSent, "%d bytes", c.size)
 	}
 }
 
@@ -275,7 +275,7 @@
 
 // When no router can read the store, a hub with old reads is kept: if every router read by itself, that would only
 // add to the load in the outage.
-func TestStaleHubKeptWhenNobodyCanRead(t *testing.T) {
+func TestStaleHubKeptWhenNoRouterCanRead(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{}}
 	startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
 	small := startRouter(t, l, "small", 1, readUpTo(5, 8*time.Second))
@@ -292,8 +292,8 @@
 	waitFor(t, "the second hub is followed", func() bool { return small.agent.HubName() == "middle" })
 }
 
-// The store refuses the hub and this router, but not a third router. This router can keep serving keyed requests with
-// what the third one reads. When it stayed with the hub, it refused them until the store accepted it again.
+// The store refuses the hub and this router, but not a third router. This router can keep serving requests that need a
+// key with what the third one reads. When it stayed with the hub, it refused them until the store accepted it again.
 func TestTurnedAwayRouterFindsAHubThatReads(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{}}
 	startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
--- a/io/hub/client.go
+++ b/io/hub/client.go
@@ -27,7 +27,7 @@
 	configuration, registry TopicPosition
 	// askedToRead is set if the hub asked this router to read the store.
 	askedToRead bool
-	// failing is set if whoever reads the store for the hub cannot.
+	// failing is set if no router that reads for the hub can read the store.
 	failing bool
 }
 
@@ -53,8 +53,8 @@
 func (a *Agent) sendReport(ctx context.Context, m members.Member) (err error) {
 	now := time.Now()
 	own := a.Loads.OwnWorkload(now)
-	fresh := a.board.AddReport(a.Self.Name, own, a.Loads.TakeReads(), now)
-	work, routers := a.board.LocalTotals(now)
+	fresh := a.aggregator.AddReport(a.Self.Name, own, a.Loads.TakeReads(), now)
+	work, routers := a.aggregator.LocalTotals(now)
 	args := &Report{
 		From: a.Self, Loads: toColumns(work.Loads), Demands: work.Demands, Epoch: a.hubState.epoch, Numbers: a.hubState.Numbers,
 		Digest: a.Members.Digest(), Configuration: a.hubState.configuration.Next, Wants: a.Configuration.Behind(),
@@ -163,7 +163,7 @@
 // twice the age that its reads should ever reach.
 const stuckFactor = 1.5
 
-// hubStuck reports whether what the hub knows is old although nobody reports that the store cannot be read.
+// hubStuck reports whether what the hub knows is old although it does not report that the store cannot be read.
 func (a *Agent) hubStuck(r *Reply) bool {
 	maxAge := time.Duration(stuckFactor * float64(a.StaleAfter))
 	return !r.Failing && r.Configuration.Known && r.Registry.Known && max(r.Configuration.Age, r.Registry.Age) > maxAge
@@ -198,10 +198,10 @@
 	a.applyRegistry(r, sent)
 	a.applyConfiguration(r, sent)
 	now := time.Now()
-	a.board.SetFleetTotal(state.total, work, now)
-	total, _ := a.board.Totals(now)
+	a.aggregator.SetFleetTotal(state.total, work, now)
+	total, _ := a.aggregator.Totals(now)
 	a.Loads.SetFleetWorkload(total, own, now)
-	a.board.AddReads(r.Reads)
+	a.aggregator.AddReads(r.Reads)
 	a.Loads.RecordReads(r.Reads)
 	if len(r.Members) > 0 {
 		a.addRouters(r.Members)
--- a/io/hub/compress.go
+++ b/io/hub/compress.go
@@ -17,7 +17,7 @@
 	Offset int64
 	// Data is empty if the receiver holds the record of that offset.
 	Data []byte
-	// OtherRecords are the other records in force.
+	// Beside are the other records in force.
 	Beside []compactedlog.Record
 }
 
--- a/io/hub/epoch_test.go
+++ b/io/hub/epoch_test.go
@@ -24,7 +24,7 @@
 func (unreadTopic) HubAnswered()                                        {}
 func (unreadTopic) EndStartupWait()                                     {}
 
-// fakeEndpoints holds changes of endpoints and ignores what is fed to it.
+// fakeEndpoints holds changes of endpoints and ignores the changes applied to it.
 type fakeEndpoints struct{ changes fleetload.ChangeLog }
 
 func (n *fakeEndpoints) Changes() *fleetload.ChangeLog       { return &n.changes }
@@ -51,13 +51,13 @@
 		first, earlier := newTestHub(t, "first")
 		second, later := newTestHub(t, "second")
 		earlier.Add(fleetload.Change{Entry: directory.Entry{ID: "known"}, Usable: true})
-		var told Reply
-		assert.NilError(t, first.Report(&Report{From: members.Member{Name: "third"}}, &told))
-		assert.Equal(t, len(told.Changes), 1)
+		var reply Reply
+		assert.NilError(t, first.Report(&Report{From: members.Member{Name: "third"}}, &reply))
+		assert.Equal(t, len(reply.Changes), 1)
 		later.Add(fleetload.Change{Entry: directory.Entry{ID: "leaving"}})
 		var next Reply
 		assert.NilError(t, second.Report(&Report{
-			From: members.Member{Name: "third"}, Epoch: told.Epoch, Numbers: told.Numbers,
+			From: members.Member{Name: "third"}, Epoch: reply.Epoch, Numbers: reply.Numbers,
 		}, &next))
 		assert.Equal(t, next.Since.Changes, int64(0))
 		assert.Equal(t, len(next.Changes), 1)
--- a/io/hub/fleetharness_test.go
+++ b/io/hub/fleetharness_test.go
@@ -41,7 +41,7 @@
 	registry          *follow.Follower
 	endpoints         *registry.Tracker
 	configurationSink configurationSink
-	drainKeeper       *draining.Tracker
+	drainTracker      *draining.Tracker
 	mu                sync.Mutex
 	domains           []string
 	// drainedAt is when domains changed last.
@@ -96,13 +96,13 @@
 	configured, entered := options, options
 	configured.Name, configured.PollWait, configured.MinInterval = "configuration", 500*time.Millisecond, 50*time.Millisecond
 	entered.Name, entered.MinInterval = "registry", 600*time.Millisecond
-	r.drainKeeper = draining.New(evacuation.Decoder{}, r, log.NewNopLogger())
-	r.configuration = follow.New(f.store.forRouter(m.Name, configurationTopic), follow.Sinks{r.drainKeeper, &r.configurationSink}, configured, log.NewNopLogger())
+	r.drainTracker = draining.New(evacuation.Decoder{}, r, log.NewNopLogger())
+	r.configuration = follow.New(f.store.forRouter(m.Name, configurationTopic), follow.Sinks{r.drainTracker, &r.configurationSink}, configured, log.NewNopLogger())
 	r.endpoints = registry.New(entryDecoder{}, func([]directory.Entry) {}, log.NewNopLogger())
 	r.registry = follow.New(f.store.forRouter(m.Name, registryTopic), r.endpoints, entered, log.NewNopLogger())
 	var err error
 	r.agent, err = hub.New(hub.Config{
-		Self: m, ListenAddress: m.Address, Members: &members.List{}, Configuration: r.configuration, CurrentRecord: r.configurationSink.record, OtherRecords: r.drainKeeper.Records,
+		Self: m, ListenAddress: m.Address, Members: &members.List{}, Configuration: r.configuration, CurrentRecord: r.configurationSink.record, OtherRecords: r.drainTracker.Records,
 		Registry: r.registry, Endpoints: r.endpoints, Loads: &r.work, RouterList: hub.NewRouterList(f.store.forRouter(m.Name, routersTopic)),
 		Bootstrap: bootstrap, Network: f.net.forRouter(m.Address), Meter: traffic.New(metrics.NewSet()), Logger: log.NewNopLogger(),
 		Clock: f.clock, StaleAfter: propagationBound * 3 / 4, OnRoutersChanged: func([]uint64) {},
@@ -202,14 +202,14 @@
 	f.t.Helper()
 	hubs, followers := map[string]string{}, map[string]int{}
 	for _, r := range f.routers {
-		hub := r.agent.HubName()
-		if hub == r.self.Name {
+		hubName := r.agent.HubName()
+		if hubName == r.self.Name {
 			first++
 			continue
 		}
-		hubs[r.self.Name] = hub
-		followers[hub]++
-		most = max(most, followers[hub])
+		hubs[r.self.Name] = hubName
+		followers[hubName]++
+		most = max(most, followers[hubName])
 	}
 	for at := range hubs {
 		depth := 0
--- a/io/hub/input_test.go
+++ b/io/hub/input_test.go
@@ -69,8 +69,8 @@
 	bad := Report{From: members.Member{Name: "x", Address: "a"}, Loads: LoadColumns{Endpoints: []uint32{1}}}
 	assert.Assert(t, s.Report(&bad, &Reply{}) != nil)
 	assert.Equal(t, s.agent.Members.Len(), 1)
-	nobody := Report{Joined: []members.Member{{Name: "y"}, {Address: "a"}, {Name: "hub", Address: "stolen"}}}
-	assert.NilError(t, s.Report(&nobody, &Reply{}))
+	unnamed := Report{Joined: []members.Member{{Name: "y"}, {Address: "a"}, {Name: "hub", Address: "stolen"}}}
+	assert.NilError(t, s.Report(&unnamed, &Reply{}))
 	assert.Equal(t, s.agent.Members.Len(), 1)
 	huge := Report{From: bad.From, Loads: LoadColumns{Endpoints: make([]uint32, maxLoadRows+1)}}
 	assert.Assert(t, s.Report(&huge, &Reply{}) != nil)
@@ -111,7 +111,7 @@
 	s, _ := newTestHub(t, "hub")
 	s.agent.Self.Bears = 2
 	now := time.Now()
-	s.agent.board.AddReport("hub", fleetload.Workload{}, nil, now)
+	s.agent.aggregator.AddReport("hub", fleetload.Workload{}, nil, now)
 	assert.Equal(t, s.agent.Self.MaxFollowers(), 2)
 	for i, full := range []bool{false, false, true} {
 		var reply Reply
--- a/io/hub/message.go
+++ b/io/hub/message.go
@@ -44,12 +44,12 @@
 	Full bool
 	// Read asks the router to read the store, because the hub cannot.
 	Read bool
-	// Failing says that whoever reads the store for the hub cannot, so what it knows may be old.
+	// Failing says that no router that reads for the hub can read the store, so what the hub knows may be old.
 	Failing bool
 
 	Configuration TopicPosition
 	Registry      TopicPosition
-	// ApplySnapshot is the record of the configuration in force, for a router that requested it.
+	// Given is the record of the configuration in force, for a router that requested it.
 	Given *CompressedConfiguration
 	// Since are the sequence numbers that the lists below start from, 0 for a list that is complete. Numbers are the
 	// new ones.
@@ -91,13 +91,13 @@
 	Registry      Known
 	// Failing says that this router's last reads failed.
 	Failing bool
-	// ApplySnapshot and Changes are the configuration and all endpoints. They are set if the hub asked for them and lacks
+	// Given and Changes are the configuration and all endpoints. They are set if the hub asked for them and lacks
 	// them.
 	Given   *CompressedConfiguration
 	Changes []fleetload.Change
 }
 
-// Position is the offset up to which a router knows a topic, and when the read that showed this was sent.
+// Known is the offset up to which a router knows a topic, and when the read that showed this was sent.
 type Known struct {
 	Known bool
 	Next  int64
--- a/io/hub/routerlist.go
+++ b/io/hub/routerlist.go
@@ -9,7 +9,7 @@
 	"savoryfall/core/members"
 )
 
-// Topic is a keyed topic of the store.
+// Topic is a compacted topic of the store.
 type Topic interface {
 	Newest(ctx context.Context) (p compactedlog.Page, err error)
 	Put(ctx context.Context, key string, value []byte) (err error)
--- a/io/hub/server.go
+++ b/io/hub/server.go
@@ -73,7 +73,7 @@
 		return err
 	}
 	a.registerRouters(args)
-	fresh := a.board.AddReport(args.From.Name, fleetload.Workload{Loads: rows, Demands: args.Demands}, args.Reads, now)
+	fresh := a.aggregator.AddReport(args.From.Name, fleetload.Workload{Loads: rows, Demands: args.Demands}, args.Reads, now)
 	a.mu.Lock()
 	a.pendingReads = append(a.pendingReads, fresh...)
 	a.mu.Unlock()
@@ -92,10 +92,10 @@
 // atCapacity reports whether this router has as many followers as its VM can serve and the given router is not one of
 // them.
 func (a *Agent) atCapacity(router string, now time.Time) bool {
-	if a.board.HasReport(router, now) {
+	if a.aggregator.HasReport(router, now) {
 		return false
 	}
-	_, routers := a.board.LocalTotals(now)
+	_, routers := a.aggregator.LocalTotals(now)
 	return routers > a.Self.MaxFollowers()
 }
 
@@ -163,7 +163,7 @@
 	var total fleetload.Workload
 	total, sequence.Totals = a.totalsSince(since.Totals)
 	reply.Loads, reply.Demands = toColumns(total.Loads), total.Demands
-	reply.Reads, sequence.Reads = a.board.ReadsSince(since.Reads)
+	reply.Reads, sequence.Reads = a.aggregator.ReadsSince(since.Reads)
 	reply.Members, sequence.Members = a.Members.Since(since.Members, args.Digest)
 	reply.Stamp = a.Clock()
 	return nil
@@ -173,7 +173,7 @@
 func (a *Agent) totalsSince(since int64) (work fleetload.Workload, next int64) {
 	now := time.Now()
 	if a.ledger.NeedsUpdate(now) {
-		total, _ := a.board.Totals(now)
+		total, _ := a.aggregator.Totals(now)
 		a.ledger.Update(total, now)
 	}
 	return a.ledger.Since(since)
--- a/io/hub/start_test.go
+++ b/io/hub/start_test.go
@@ -18,7 +18,7 @@
 	reads *atomic.Bool
 }
 
-func (l leadTopic) SetLeader(lead bool) { l.reads.Store(lead) }
+func (l leadTopic) SetLeader(leader bool) { l.reads.Store(leader) }
 
 // idleLoads is the load of a router without requests.
 type idleLoads struct{}
