--- a/io/leases/doc.go
+++ b/io/leases/doc.go
@@ -1,2 +1,3 @@
-// Package leases acquires and renews leases through a stream of the platform's log, whose offsets serve as fencing tokens.
+// Package leases acquires and renews leases through a stream of the platform's log, whose offsets serve as fencing
+// tokens.
 package leases
--- a/io/leases/manager.go
+++ b/io/leases/manager.go
@@ -158,7 +158,8 @@
 	return nil
 }
 
-// updateTrackers updates the trackers only when the stream was read to its end, since the holder in an old record may be gone.
+// updateTrackers updates the trackers only when the stream was read to its end, since the holder in an old record may
+// be gone.
 func (m *Manager) updateTrackers() {
 	if !m.caughtUp {
 		return
