--- a/io/loadtest/report.go
+++ b/io/loadtest/report.go
@@ -10,8 +10,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report holds the results of one run. Knowable tokens are the prompt tokens that a single prefix cache as large as the caches
-// of all engines together would have found; found tokens are those that the engines found in their caches.
+// Report holds the results of one run. Knowable tokens are the prompt tokens that a single prefix cache as large as the
+// caches of all engines together would have found; found tokens are those that the engines found in their caches.
 type Report struct {
 	Policy                 string             `json:"policy"`
 	CacheReuse             float64            `json:"cacheReuse"`
@@ -66,7 +66,8 @@
 	windows          []windowStats
 }
 
-// windowStats holds one row of the CSV file, for a window of one second. Counters are totals since the end of the warm-up.
+// windowStats holds one row of the CSV file, for a window of one second. Counters are totals since the end of the
+// warm-up.
 type windowStats struct {
 	elapsedSeconds       float64
 	requestSkew          float64
--- a/io/loadtest/requests.go
+++ b/io/loadtest/requests.go
@@ -32,8 +32,8 @@
 	ticket      string
 }
 
-// runTurn sends a chat's request, compares the response with the expected text, records the result and, if the response was
-// complete, schedules the chat's next turn.
+// runTurn sends a chat's request, compares the response with the expected text, records the result and, if the response
+// was complete, schedules the chat's next turn.
 func (r *Run) runTurn(ctx context.Context, c *chat) {
 	messages := encodeMessages(c.messages)
 	prompt, knowable := r.idealCache.LookUp(messages)
@@ -159,8 +159,8 @@
 	}
 }
 
-// recordLatencies records the latencies of a complete response. The first-token latency of accounts without a surge is also
-// recorded separately.
+// recordLatencies records the latencies of a complete response. The first-token latency of accounts without a surge is
+// also recorded separately.
 func (st *stats) recordLatencies(r *Run, c *chat, result completion, took time.Duration) {
 	recordDuration(st.firstToken, result.firstToken)
 	surges := false
@@ -198,8 +198,8 @@
 
 const maxCallAttempts = 3
 
-// callWithRetries retries a call under the same key through a random router until its outcome is "ran", whatever outcome it got
-// before, as an impatient client would.
+// callWithRetries retries a call under the same key through a random router until its outcome is "ran", whatever
+// outcome it got before, as an impatient client would.
 func (r *Run) callWithRetries(ctx context.Context, key string) {
 	random := rand.New(rand.NewPCG(r.plan.Seed, uint64(len(key))))
 	outcome := ""
--- a/io/loadtest/run.go
+++ b/io/loadtest/run.go
@@ -36,8 +36,8 @@
 	inFlight         sync.WaitGroup
 }
 
-// New returns a run of the plan with a routing policy; extraSettings holds TOML that is appended to sections of the routers'
-// settings, by section name.
+// New returns a run of the plan with a routing policy; extraSettings holds TOML that is appended to sections of the
+// routers' settings, by section name.
 func New(p *loadplan.Plan, policy string, extraSettings map[string]string) *Run {
 	return &Run{
 		plan: p, policy: policy, extraSettings: extraSettings, stats: newStats(), workload: newWorkload(p), excluded: map[string]time.Time{},
@@ -160,7 +160,8 @@
 	}
 }
 
-// applyChurn kills, drains or starts an engine. When an engine is lost, the ideal cache loses one engine's share of its content.
+// applyChurn kills, drains or starts an engine. When an engine is lost, the ideal cache loses one engine's share of its
+// content.
 func (r *Run) applyChurn(ctx context.Context, c loadplan.Churn) {
 	name := fmt.Sprintf("engine-%02d", c.Engine)
 	share := 1 / float64(r.plan.Fleet.Engines)
--- a/io/loadtest/workload.go
+++ b/io/loadtest/workload.go
@@ -118,8 +118,8 @@
 	return len(wl.weights) - 1
 }
 
-// addQuestion adds the next question. The wanted length of the answer is part of the text, which only the engine interprets, so that
-// a router cannot tell short from long answers in advance.
+// addQuestion adds the next question. The wanted length of the answer is part of the text, which only the engine
+// interprets, so that a router cannot tell short from long answers in advance.
 func (wl *workload) addQuestion(c *chat) {
 	tokens := wl.plan.Chats.TurnTokens
 	if c.turn == 0 {
