--- a/io/logwriter/doc.go
+++ b/io/logwriter/doc.go
@@ -1,2 +1,2 @@
-// Package stdout writes log lines without ever blocking the caller.
+// Package logwriter writes log lines without ever blocking the caller.
 package logwriter
--- a/io/logwriter/log.go
+++ b/io/logwriter/logger.go
@@ -55,7 +55,7 @@
 	return l
 }
 
-// Logger queues one line, or drops it if the rate is exceeded or the queue is full.
+// Log queues one line, or drops it if the rate is exceeded or the queue is full.
 func (l *Logger) Log(keyvals ...any) error {
 	if eventName(keyvals) == event.RequestServed && !l.servedLimiter.Allow() || !l.limiter.Allow() {
 		l.drop()
--- a/io/logwriter/log_test.go
+++ b/io/logwriter/logger_test.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// blockedWriter blocks until release is closed, like a pipe that nobody reads.
+// blockedWriter blocks until release is closed, like a pipe without a reader.
 type blockedWriter struct{ release chan struct{} }
 
 func (s blockedWriter) Write([]byte) (int, error) {
