--- a/io/operator/api.go
+++ b/io/operator/api.go
@@ -53,7 +53,7 @@
 	m.HandleFunc("/status", d.status).Methods(http.MethodGet)
 	m.HandleFunc("/explain/{request}", d.explain).Methods(http.MethodGet)
 	m.HandleFunc("/release", d.release).Methods(http.MethodGet)
-	m.HandleFunc("/notes/{note}", d.note).Methods(http.MethodGet)
+	m.HandleFunc("/notes/{note}", d.releaseNote).Methods(http.MethodGet)
 	m.HandleFunc("/metrics", d.metrics).Methods(http.MethodGet)
 	return m
 }
@@ -142,13 +142,13 @@
 	_, _ = w.Write(data)
 }
 
-// NoteStatus reports whether a published note is known, and why it was refused if it was.
+// NoteStatus reports whether a published release note is known, and why it was refused if it was.
 type NoteStatus struct {
 	Known   bool   `json:"known"`
 	Refusal string `json:"refusal,omitempty"`
 }
 
-func (d *API) note(w http.ResponseWriter, r *http.Request) {
+func (d *API) releaseNote(w http.ResponseWriter, r *http.Request) {
 	refusal, known := d.Configuration.Current().Refusal(mux.Vars(r)["note"])
 	writeJSON(w, NoteStatus{Known: known, Refusal: refusal})
 }
