--- a/io/peer/agent.go
+++ b/io/peer/agent.go
@@ -60,25 +60,25 @@
 // Agent exchanges heartbeats, load digests, leaving marks and configuration offsets with the other routers.
 type Agent struct {
 	Config
-	listener      net.Listener
-	mu            sync.Mutex
-	connByPeer    map[string]*connection
-	openConns     map[*connection]bool
-	closed        bool
-	acceptedConns map[net.Conn]bool
-	findings      map[string]*pendingFinding
-	marks         map[LeavingMark]int
-	overBudget    bool
-	round         int
-	lastBytes     uint64
-	byteRate      float64
-	spillCursors  map[string]uint64
-	partitioned   func(name string) bool
-	exchangeNow   chan struct{}
-	cancel        context.CancelFunc
-	running       background.Group
-	draining      bool
-	connHandlers  background.Group
+	listener        net.Listener
+	mu              sync.Mutex
+	connByPeer      map[string]*connection
+	openConns       map[*connection]bool
+	closed          bool
+	acceptedConns   map[net.Conn]bool
+	findings        map[string]*pendingFinding
+	marks           map[LeavingMark]int
+	overBudget      bool
+	round           int
+	lastBytes       uint64
+	byteRate        float64
+	overflowCursors map[string]uint64
+	partitioned     func(name string) bool
+	exchangeNow     chan struct{}
+	cancel          context.CancelFunc
+	running         background.Group
+	draining        bool
+	connHandlers    background.Group
 }
 
 const (
@@ -92,19 +92,19 @@
 	findingLifetimePeriods = 20
 	maxUpdates             = 16
 	maxEndpointNotices     = 8
-	maxSpills              = 64
+	maxOverflows           = 64
 	maxRecords             = 200
 	// byteRateSmoothing averages over about ten periods, so that a burst of that length is tolerated.
 	byteRateSmoothing = 0.1
 )
 
 // New listens on the address immediately, so that Address is known before Start.
-func New(address string, p Config) (a *Agent, err error) {
+func New(address string, c Config) (a *Agent, err error) {
 	defer annotate.Error(&err, "listen for peers on %s", address)
 	a = &Agent{
-		Config: p, connByPeer: map[string]*connection{}, openConns: map[*connection]bool{}, acceptedConns: map[net.Conn]bool{},
+		Config: c, connByPeer: map[string]*connection{}, openConns: map[*connection]bool{}, acceptedConns: map[net.Conn]bool{},
 		findings: map[string]*pendingFinding{}, marks: map[LeavingMark]int{},
-		spillCursors: map[string]uint64{}, exchangeNow: make(chan struct{}, 1),
+		overflowCursors: map[string]uint64{}, exchangeNow: make(chan struct{}, 1),
 	}
 	a.listener, err = net.Listen("tcp", address)
 	return a, err
@@ -303,7 +303,7 @@
 	defer a.mu.Unlock()
 	if !a.overBudget || a.round%2 == 0 {
 		m.Shape, m.Load = a.Ledger.Digest()
-		m.Spills, a.spillCursors[to] = a.Spills.OwnSince(a.spillCursors[to], maxSpills)
+		m.Spills, a.overflowCursors[to] = a.Spills.OwnSince(a.overflowCursors[to], maxOverflows)
 	}
 	a.addMarks(m)
 	a.addFindings(m, to, time.Now())
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -38,8 +38,8 @@
 // errPartitioned simulates a network partition; only tests enable one, with Cut.
 var errPartitioned = errors.New("no route to the peer")
 
-// SetPartition simulates a network partition between this router and the peers for which the function returns true; nil ends
-// it.
+// SetPartition simulates a network partition between this router and the peers for which the function returns true; nil
+// ends it.
 func (a *Agent) SetPartition(partitioned func(name string) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/io/peer/message.go
+++ b/io/peer/message.go
@@ -36,7 +36,7 @@
 	Max  int
 }
 
-// RecordsFrom contains raw configuration records; the first one is at the requested offset.
+// Records contains raw configuration records; the first one is at the requested offset.
 type Records struct {
 	Records [][]byte
 }
--- a/io/peer/service.go
+++ b/io/peer/service.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// RecordsFrom returns raw configuration records.
+// Records returns raw configuration records.
 func (s *Service) Records(request RecordsRequest, reply *Records) error {
 	reply.Records = s.agent.Configuration.RecordsFrom(request.From, min(request.Max, maxRecords))
 	return nil
