--- a/io/platformlog/log.go
+++ b/io/platformlog/client.go
@@ -51,9 +51,9 @@
 }
 
 // Append adds a record. After an error other than a StatusError it is unknown whether the record was added.
-func (l *Client) Append(ctx context.Context, stream string, data []byte) (offset int64, err error) {
+func (c *Client) Append(ctx context.Context, stream string, data []byte) (offset int64, err error) {
 	defer annotate.Error(&err, "append to stream %s", stream)
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, l.url(stream, nil), bytes.NewReader(data))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url(stream, nil), bytes.NewReader(data))
 	if err != nil {
 		return 0, err
 	}
@@ -62,38 +62,38 @@
 	var result struct {
 		Offset int64 `json:"offset"`
 	}
-	err = l.do(r, &result)
+	err = c.do(r, &result)
 	return result.Offset, err
 }
 
 // Read reads up to max records from the offset on. If there is none, it waits for one for up to wait.
-func (l *Client) Read(ctx context.Context, stream string, from int64, max int, wait time.Duration) (p Page, err error) {
+func (c *Client) Read(ctx context.Context, stream string, from int64, max int, wait time.Duration) (p Page, err error) {
 	defer annotate.Error(&err, "read stream %s from %d", stream, from)
 	q := url.Values{}
 	q.Set("from", strconv.FormatInt(from, 10))
 	q.Set("max", strconv.Itoa(max))
 	q.Set("waitMs", strconv.FormatInt(wait.Milliseconds(), 10))
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url(stream, q), nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(stream, q), nil)
 	if err != nil {
 		return p, err
 	}
-	err = l.do(r, &p)
+	err = c.do(r, &p)
 	if err == nil && from < p.First {
 		err = TrimmedError{Want: from, First: p.First}
 	}
 	return p, err
 }
 
-func (l *Client) url(stream string, q url.Values) string {
-	u := l.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
+func (c *Client) url(stream string, q url.Values) string {
+	u := c.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
 	if len(q) == 0 {
 		return u
 	}
 	return u + "?" + q.Encode()
 }
 
-func (l *Client) do(r *http.Request, result any) (err error) {
-	resp, err := l.client.Do(r)
+func (c *Client) do(r *http.Request, result any) (err error) {
+	resp, err := c.client.Do(r)
 	if err != nil {
 		return err
 	}
