--- a/io/probe/keeper.go
+++ b/io/probe/prober.go
@@ -29,8 +29,8 @@
 
 // Gossip passes changes of endpoints on to the other routers.
 type Gossip interface {
-	Finding(endpoint string, down bool)
-	Mark(endpoint, incarnation string)
+	Finding(name string, down bool)
+	Mark(name, incarnation string)
 }
 
 // Prober collects reports and failures of endpoints, and decides whether the endpoints may receive new requests.
@@ -69,7 +69,7 @@
 	downProbePeriods = 8
 )
 
-// New returns a keeper that probes through the meter's HTTP transport.
+// New returns a prober that probes through the meter's HTTP transport.
 func New(h *health.Table, l *ledger.Ledger, m *traffic.Meter, period, maturity time.Duration, logger log.Logger) *Prober {
 	return &Prober{
 		health: h, ledger: l, period: period, maturity: maturity, logger: logger, current: &activeconfig.Configuration{},
@@ -82,91 +82,91 @@
 }
 
 // SetPeers sets who assigns the probe duties and who passes changes on; it must be called before Start.
-func (k *Prober) SetPeers(d Duties, g Gossip) { k.duties, k.gossip = d, g }
+func (p *Prober) SetPeers(d Duties, g Gossip) { p.duties, p.gossip = d, g }
 
 // Configure sets the endpoints in force.
-func (k *Prober) Configure(c *activeconfig.Configuration) {
+func (p *Prober) Configure(c *activeconfig.Configuration) {
 	endpoints := c.Endpoints()
 	names := make([]string, 0, len(endpoints))
 	for _, e := range endpoints {
 		names = append(names, e.Name())
 	}
-	k.health.Configure(names)
-	k.ledger.Configure(endpoints)
-	k.mu.Lock()
-	k.current = c
-	k.mu.Unlock()
+	p.health.Configure(names)
+	p.ledger.Configure(endpoints)
+	p.mu.Lock()
+	p.current = c
+	p.mu.Unlock()
 }
 
 // Start updates states and probes in the background until Stop.
-func (k *Prober) Start(context.Context) error {
+func (p *Prober) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	k.cancel = cancel
-	k.running.Go(func() { k.loop(ctx) })
+	p.cancel = cancel
+	p.running.Go(func() { p.loop(ctx) })
 	return nil
 }
 
 // Stop ends the probes.
-func (k *Prober) Stop(context.Context) error {
-	k.cancel()
-	k.running.Stop()
-	k.client.CloseIdleConnections()
+func (p *Prober) Stop(context.Context) error {
+	p.cancel()
+	p.running.Stop()
+	p.client.CloseIdleConnections()
 	return nil
 }
 
-func (k *Prober) loop(ctx context.Context) {
+func (p *Prober) loop(ctx context.Context) {
 	n := 0
-	background.Every(ctx, k.period/sweepsPerPeriod, func(time.Time) {
-		k.sweep()
-		k.probeDue(ctx, n)
+	background.Every(ctx, p.period/sweepsPerPeriod, func(time.Time) {
+		p.sweep()
+		p.probeDue(ctx, n)
 		n++
 	})
 }
 
-func (k *Prober) configuration() *activeconfig.Configuration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.current
+func (p *Prober) configuration() *activeconfig.Configuration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.current
 }
 
 // sweep updates the states of all endpoints, since states also change with time alone.
-func (k *Prober) sweep() {
-	for _, e := range k.configuration().Endpoints() {
-		k.updateState(e.Name())
+func (p *Prober) sweep() {
+	for _, e := range p.configuration().Endpoints() {
+		p.updateState(e.Name())
 	}
 }
 
 // updateState passes the state of an endpoint to the placement, and reports a change to the peers.
-func (k *Prober) updateState(name string) {
-	state := k.health.State(name, time.Now())
-	k.mu.Lock()
-	before, known := k.states[name]
-	k.states[name] = state
-	k.mu.Unlock()
-	k.ledger.SetState(name, state)
-	k.ledger.SetRecentlyStarted(name, k.health.RecentlyStarted(name, k.maturity, time.Now()))
+func (p *Prober) updateState(name string) {
+	state := p.health.State(name, time.Now())
+	p.mu.Lock()
+	before, known := p.states[name]
+	p.states[name] = state
+	p.mu.Unlock()
+	p.ledger.SetState(name, state)
+	p.ledger.SetRecentlyStarted(name, p.health.RecentlyStarted(name, p.maturity, time.Now()))
 	if known && before == state || !known && state == health.Up {
 		return
 	}
-	_ = k.logger.Log("event", "endpointState", "endpoint", name, "state", state, "before", before)
+	_ = p.logger.Log("event", "endpointState", "endpoint", name, "state", state, "before", before)
 	switch {
-	case state == health.Leaving && k.health.KnownLeaving(name):
-		k.gossip.Mark(name, k.health.Incarnation(name))
+	case state == health.Leaving && p.health.KnownLeaving(name):
+		p.gossip.Mark(name, p.health.Incarnation(name))
 	case state == health.Down:
-		k.gossip.Finding(name, true)
+		p.gossip.Finding(name, true)
 	case before == health.Down:
-		k.gossip.Finding(name, false)
+		p.gossip.Finding(name, false)
 	}
 }
 
 // probeDue probes the endpoints that haven't answered for a period, spread over the sweeps of the period.
-func (k *Prober) probeDue(ctx context.Context, n int) {
-	for i, e := range k.configuration().Endpoints() {
-		if i%sweepsPerPeriod != n%sweepsPerPeriod || time.Since(k.health.LastAnsweredAt(e.Name())) < k.period {
+func (p *Prober) probeDue(ctx context.Context, n int) {
+	for i, e := range p.configuration().Endpoints() {
+		if i%sweepsPerPeriod != n%sweepsPerPeriod || time.Since(p.health.LastAnsweredAt(e.Name())) < p.period {
 			continue
 		}
-		if k.duties.Assigned("probe/"+e.Name(), probersPerEndpoint) || k.health.LastAnsweredAt(e.Name()).IsZero() || k.downProbeDue(e.Name(), n) {
-			k.startProbe(ctx, e.Name(), e.Address())
+		if p.duties.Assigned("probe/"+e.Name(), probersPerEndpoint) || p.health.LastAnsweredAt(e.Name()).IsZero() || p.downProbeDue(e.Name(), n) {
+			p.startProbe(ctx, e.Name(), e.Address())
 		}
 	}
 }
@@ -174,62 +174,62 @@
 // downProbeDue reports whether this router should probe an endpoint that it considers down although it has no duty to.
 // If only the network between this router and the endpoint had failed, the routers with the duty have seen neither the
 // failure nor the recovery, and will never report either.
-func (k *Prober) downProbeDue(name string, n int) bool {
-	return n/sweepsPerPeriod%downProbePeriods == 0 && k.health.State(name, time.Now()) == health.Down
+func (p *Prober) downProbeDue(name string, n int) bool {
+	return n/sweepsPerPeriod%downProbePeriods == 0 && p.health.State(name, time.Now()) == health.Down
 }
 
 // ProbeNow probes an endpoint immediately, whichever router has the duty. If a probe is already in progress, another
 // one follows: the first may return a response that the endpoint sent before the reported event, and a router without
 // the duty would not probe again.
-func (k *Prober) ProbeNow(name string) {
-	e, ok := k.configuration().Endpoint(name)
+func (p *Prober) ProbeNow(name string) {
+	e, ok := p.configuration().Endpoint(name)
 	if !ok {
 		return
 	}
-	k.mu.Lock()
-	k.repeat[name] = k.probing[name]
-	k.mu.Unlock()
-	k.startProbe(context.Background(), name, e.Address())
+	p.mu.Lock()
+	p.repeat[name] = p.probing[name]
+	p.mu.Unlock()
+	p.startProbe(context.Background(), name, e.Address())
 }
 
-func (k *Prober) startProbe(ctx context.Context, name, address string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.probing[name] {
+func (p *Prober) startProbe(ctx context.Context, name, address string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.probing[name] {
 		return
 	}
-	k.probing[name] = true
-	k.running.Go(func() {
-		for repeat := true; repeat; repeat = k.probeDone(name) {
-			k.probe(ctx, name, address)
+	p.probing[name] = true
+	p.running.Go(func() {
+		for repeat := true; repeat; repeat = p.probeDone(name) {
+			p.probe(ctx, name, address)
 		}
 	})
 }
 
 // probeDone records the end of a probe, and reports whether another one was requested in the meantime.
-func (k *Prober) probeDone(name string) (repeat bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	repeat = k.repeat[name]
-	delete(k.repeat, name)
+func (p *Prober) probeDone(name string) (repeat bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	repeat = p.repeat[name]
+	delete(p.repeat, name)
 	if !repeat {
-		delete(k.probing, name)
+		delete(p.probing, name)
 	}
 	return repeat
 }
 
-func (k *Prober) probe(ctx context.Context, name, address string) {
+func (p *Prober) probe(ctx context.Context, name, address string) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+reportPath, nil)
 	if err != nil {
 		return
 	}
 	r.Header.Set("User-Agent", "")
 	sentAt := time.Now()
-	resp, err := k.client.Do(r)
+	resp, err := p.client.Do(r)
 	if err != nil {
 		if ctx.Err() == nil {
-			k.health.Failed(name, true, time.Now())
-			k.updateState(name)
+			p.health.Failed(name, true, time.Now())
+			p.updateState(name)
 		}
 		return
 	}
@@ -239,44 +239,44 @@
 	if err != nil {
 		response = report.Report{}
 	}
-	k.Heard(name, response, sentAt, sentAt)
+	p.Heard(name, response, sentAt, sentAt)
 }
 
 // Heard applies the report from the response to a request sent at sentAt. If the endpoint is considered down, because
 // an attempt has failed in the meantime, a probe determines which of the two is newer.
-func (k *Prober) Heard(name string, r report.Report, sentAt, at time.Time) {
-	restarted := k.health.Heard(name, r.Incarnation, r.Leaving, sentAt)
-	if k.health.State(name, at) == health.Down {
-		k.ProbeNow(name)
+func (p *Prober) Heard(name string, r report.Report, sentAt, at time.Time) {
+	restarted := p.health.Heard(name, r.Incarnation, r.Leaving, sentAt)
+	if p.health.State(name, at) == health.Down {
+		p.ProbeNow(name)
 	}
 	if restarted {
-		_ = k.logger.Log("event", "endpointRestarted", "endpoint", name, "incarnation", r.Incarnation)
+		_ = p.logger.Log("event", "endpointRestarted", "endpoint", name, "incarnation", r.Incarnation)
 	}
-	k.ledger.Report(name, r.Requests(), at.Add(-r.Age()))
-	k.updateState(name)
+	p.ledger.Report(name, r.Requests(), at.Add(-r.Age()))
+	p.updateState(name)
 }
 
 // Failed applies a failed attempt. A refused connection proves that the endpoint is down, whereas other failures may
 // be caused by the request.
-func (k *Prober) Failed(name string, f *endpoint.AttemptError) {
+func (p *Prober) Failed(name string, f *endpoint.AttemptError) {
 	if errors.Is(f.Cause, context.Canceled) || errors.Is(f.Cause, context.DeadlineExceeded) {
 		return
 	}
 	if f.Outcome == outcome.NotRun && f.Status != 0 {
 		return
 	}
-	k.health.Failed(name, errors.Is(f.Cause, syscall.ECONNREFUSED), time.Now())
-	k.updateState(name)
+	p.health.Failed(name, errors.Is(f.Cause, syscall.ECONNREFUSED), time.Now())
+	p.updateState(name)
 }
 
 // MarkLeaving applies a leaving mark that another router has observed.
-func (k *Prober) MarkLeaving(name, incarnation string) {
-	k.health.MarkLeaving(name, incarnation)
-	k.updateState(name)
+func (p *Prober) MarkLeaving(name, incarnation string) {
+	p.health.MarkLeaving(name, incarnation)
+	p.updateState(name)
 }
 
 // UpdateFromVMList applies whether the VM list shows the endpoint as leaving.
-func (k *Prober) UpdateFromVMList(name string, leaving bool) {
-	k.health.Listed(name, leaving)
-	k.updateState(name)
+func (p *Prober) UpdateFromVMList(name string, leaving bool) {
+	p.health.Listed(name, leaving)
+	p.updateState(name)
 }
--- a/io/probe/keeper_test.go
+++ b/io/probe/prober_test.go
@@ -46,21 +46,21 @@
 // longPeriod is longer than any test runs.
 const longPeriod = time.Hour
 
-// newKeeper starts a keeper with a single endpoint, engine-01, at the server's address.
-func newKeeper(t *testing.T, s *httptest.Server, period time.Duration) (k *probe.Prober, h *health.Table) {
+// newProber starts a prober with a single endpoint, engine-01, at the server's address.
+func newProber(t *testing.T, s *httptest.Server, period time.Duration) (p *probe.Prober, h *health.Table) {
 	t.Helper()
 	h = &health.Table{}
-	k = probe.New(h, &ledger.Ledger{}, traffic.New(metrics.NewSet()), period, 0, log.NewNopLogger())
-	k.SetPeers(noDuty{}, noDuty{})
+	p = probe.New(h, &ledger.Ledger{}, traffic.New(metrics.NewSet()), period, 0, log.NewNopLogger())
+	p.SetPeers(noDuty{}, noDuty{})
 	c, err := (&activeconfig.Configuration{}).Apply(0, activeconfig.NoteRecord(fmt.Sprintf(
 		"id = \"first\"\n[[added.models]]\nname = \"m\"\n[[added.endpoints]]\nname = \"engine-01\"\naddress = %q\n"+
 			"failureDomain = \"a\"\nmodels = [\"m\"]\n", s.Listener.Addr())))
 	assert.NilError(t, err)
 	assert.Equal(t, len(c.Endpoints()), 1)
-	k.Configure(c)
-	assert.NilError(t, k.Start(t.Context()))
-	t.Cleanup(func() { assert.NilError(t, k.Stop(t.Context())) })
-	return k, h
+	p.Configure(c)
+	assert.NilError(t, p.Start(t.Context()))
+	t.Cleanup(func() { assert.NilError(t, p.Stop(t.Context())) })
+	return p, h
 }
 
 func waitForState(t *testing.T, h *health.Table, want health.State) {
@@ -82,10 +82,10 @@
 	g := &blockingHandler{arrived: make(chan struct{}), release: make(chan struct{})}
 	s := httptest.NewServer(g)
 	defer s.Close()
-	k, h := newKeeper(t, s, longPeriod)
-	k.ProbeNow("engine-01")
+	p, h := newProber(t, s, longPeriod)
+	p.ProbeNow("engine-01")
 	<-g.arrived
-	k.ProbeNow("engine-01")
+	p.ProbeNow("engine-01")
 	assert.NilError(t, s.Listener.Close())
 	g.release <- struct{}{}
 	waitForState(t, h, health.Down)
@@ -96,27 +96,27 @@
 func TestResponseReadAfterFailureTriggersProbe(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{}`)) }))
 	defer s.Close()
-	k, h := newKeeper(t, s, longPeriod)
+	p, h := newProber(t, s, longPeriod)
 	sentAt := time.Now()
-	k.Failed("engine-01", connectionRefused)
+	p.Failed("engine-01", connectionRefused)
 	assert.Equal(t, h.State("engine-01", time.Now()), health.Down)
-	k.Heard("engine-01", report.Report{}, sentAt, time.Now())
+	p.Heard("engine-01", report.Report{}, sentAt, time.Now())
 	waitForState(t, h, health.Up)
 }
 
 // The network between one router and an engine fails and recovers. The routers with the duty to probe the engine have
-// not noticed, so nobody reports the recovery to this router: it must probe the engine itself.
+// not noticed, so no peer reports the recovery to this router: it must probe the engine itself.
 func TestEndpointDownForOneRouterOnlyRecovers(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{}`)) }))
 	defer s.Close()
-	k, h := newKeeper(t, s, 100*time.Millisecond)
+	p, h := newProber(t, s, 100*time.Millisecond)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if h.LastAnsweredAt("engine-01").IsZero() {
 			return poll.Continue("the endpoint has not answered")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(time.Millisecond))
-	k.Failed("engine-01", connectionRefused)
+	p.Failed("engine-01", connectionRefused)
 	waitForState(t, h, health.Down)
 	waitForState(t, h, health.Up)
 }
