--- a/io/registry/keeper_test.go
+++ b/io/registry/tracker_test.go
@@ -19,24 +19,24 @@
 // back: it used to get new requests for two more seconds.
 func TestFullHubUpdateRemovesLeavingEndpoint(t *testing.T) {
 	var usable []directory.Entry
-	k := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
+	tr := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
 	stays, leaves, lapsed := directory.Entry{ID: "a", Born: 1}, directory.Entry{ID: "b", Born: 1}, directory.Entry{ID: "c", Born: 1}
-	k.ApplyChanges([]fleetload.Change{{Entry: stays, Usable: true}, {Entry: leaves, Usable: true}, {Entry: lapsed, Usable: true}}, true)
+	tr.ApplyChanges([]fleetload.Change{{Entry: stays, Usable: true}, {Entry: leaves, Usable: true}, {Entry: lapsed, Usable: true}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{stays, leaves, lapsed})
-	k.Failed(errUnavailable)
+	tr.Failed(errUnavailable)
 	leaving := leaves
 	leaving.Leaving = true
-	k.ApplyChanges([]fleetload.Change{{Entry: stays, Usable: true}, {Entry: leaving}}, true)
+	tr.ApplyChanges([]fleetload.Change{{Entry: stays, Usable: true}, {Entry: leaving}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{stays, lapsed})
 }
 
 // The hub still lists that an earlier process has ended. The process that has the same name now must stay usable.
 func TestFullHubUpdateRemovesOnlyTheNamedProcess(t *testing.T) {
 	var usable []directory.Entry
-	k := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
+	tr := registry.New(nil, func(list []directory.Entry) { usable = list }, log.NewNopLogger())
 	now := directory.Entry{ID: "a", Born: 2}
-	k.ApplyChanges([]fleetload.Change{{Entry: now, Usable: true}}, true)
-	k.Failed(errUnavailable)
-	k.ApplyChanges([]fleetload.Change{{Entry: directory.Entry{ID: "a", Born: 1, Leaving: true}}}, true)
+	tr.ApplyChanges([]fleetload.Change{{Entry: now, Usable: true}}, true)
+	tr.Failed(errUnavailable)
+	tr.ApplyChanges([]fleetload.Change{{Entry: directory.Entry{ID: "a", Born: 1, Leaving: true}}}, true)
 	assert.DeepEqual(t, usable, []directory.Entry{now})
 }
