--- a/io/rollout/reconciler.go
+++ b/io/rollout/reconciler.go
@@ -37,8 +37,8 @@
 	State(name string, now time.Time) health.State
 }
 
-// Reconciler compares the versions that the engines of a failure domain have loaded with the wanted ones, and sends orders to
-// engines that differ.
+// Reconciler compares the versions that the engines of a failure domain have loaded with the wanted ones, and sends
+// orders to engines that differ.
 type Reconciler struct {
 	leases      Leases
 	config      Configuration
@@ -58,8 +58,8 @@
 	maxReportBytes = 64 << 10
 )
 
-// New returns a reconciler. maxDuration bounds the time of one order, and loadsPerSecond is the rate of loads that the weight
-// store can serve.
+// New returns a reconciler. maxDuration bounds the time of one order, and loadsPerSecond is the rate of loads that the
+// weight store can serve.
 func New(l Leases, c Configuration, h Health, client *http.Client, period, maxDuration time.Duration, loadsPerSecond float64, logger log.Logger) *Reconciler {
 	return &Reconciler{
 		leases: l, config: c, health: h, client: client, logger: logger, period: period, maxDuration: maxDuration,
@@ -154,8 +154,8 @@
 
 func (e leaseExpiredError) Error() string { return "lease for " + e.duty + " expired" }
 
-// sendOrder sends one order. It checks the lease again right before: an engine that does not check fencing tokens would accept an
-// order from a router that was paused since the comparison and has lost the lease.
+// sendOrder sends one order. It checks the lease again right before: an engine that does not check fencing tokens would
+// accept an order from a router that was paused since the comparison and has lost the lease.
 func (rc *Reconciler) sendOrder(ctx context.Context, domain string, e endpoint.Endpoint, o rollout.Order) (err error) {
 	defer annotate.Error(&err, "order to %s", e.Name())
 	ctx, cancel := context.WithTimeout(ctx, rc.maxDuration)
