--- a/io/router/files.go
+++ b/io/router/files.go
@@ -27,7 +27,8 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// mutualTLS returns a TLS configuration that accepts and connects to only those peers whose certificate the authority signed.
+// mutualTLS returns a TLS configuration that accepts and connects to only those peers whose certificate the authority
+// signed.
 func mutualTLS(certificate, key, authority string) (cfg *tls.Config, err error) {
 	cfg, err = serverTLS(certificate, key)
 	if err != nil {
@@ -42,7 +43,8 @@
 	return cfg, nil
 }
 
-// clientTLS returns a TLS configuration that trusts the authority, or nil, for the system's authorities, if none is set.
+// clientTLS returns a TLS configuration that trusts the authority, or nil, for the system's authorities, if none is
+// set.
 func clientTLS(authority string) (cfg *tls.Config, err error) {
 	if authority == "" {
 		return nil, nil
--- a/io/router/router.go
+++ b/io/router/router.go
@@ -41,7 +41,7 @@
 
 // Router is one router; a process may run several.
 type Router struct {
-	kernel   lifecycle.Manager
+	manager  lifecycle.Manager
 	settings *settings.Settings
 	logger   log.Logger
 }
@@ -58,11 +58,11 @@
 	nameHealth        = "health"
 	nameLedger        = "ledger"
 	nameProbe         = "probe"
-	nameSpills        = "spills"
+	nameOverflows     = "spills"
 	namePeers         = "peers"
 	nameAdmission     = "admission"
 	nameEndpoints     = "endpoints"
-	nameFront         = "front"
+	nameCallerServer  = "front"
 	nameCallers       = "callers"
 	nameOperators     = "operators"
 	nameVMWatcher     = "watch"
@@ -76,7 +76,7 @@
 	defer annotate.Error(&err, "build router %s", s.VM().Name())
 	r = &Router{settings: s, logger: log.With(logger, "vm", s.VM().Name())}
 	for _, build := range []func() error{
-		r.buildTelemetry, r.buildState, r.buildConfiguration, r.buildPeers, r.buildOrders, r.buildFront, r.buildOperators,
+		r.buildTelemetry, r.buildState, r.buildConfiguration, r.buildPeers, r.buildOrders, r.buildCallerServer, r.buildOperators,
 	} {
 		err = build()
 		if err != nil {
@@ -89,22 +89,22 @@
 func (r *Router) buildTelemetry() (err error) {
 	s := r.settings
 	set := metrics.NewSet()
-	r.kernel.Register(nameMetrics, set)
-	r.kernel.Register(nameMeter, traffic.New(set))
+	r.manager.Register(nameMetrics, set)
+	r.manager.Register(nameMeter, traffic.New(set))
 	traces, err := tracing.New(context.Background(), s.VM().Name(), s.Traces().OTLP(), s.Traces().File())
 	if err != nil {
 		return err
 	}
-	r.kernel.Register(nameTracing, traces)
+	r.manager.Register(nameTracing, traces)
 	return nil
 }
 
-// incarnationEpoch is the time from which incarnation numbers count seconds. A recent epoch keeps the numbers, which are
-// part of every heartbeat, short.
+// incarnationEpoch is the time from which incarnation numbers count seconds. A recent epoch keeps the numbers, which
+// are part of every heartbeat, short.
 var incarnationEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// suspicionHalfPeriods is the number of half heartbeat periods for which a silent member is suspected before it counts as
-// dead: long enough to hear from it once more, and short enough to detect a dead member within three periods.
+// suspicionHalfPeriods is the number of half heartbeat periods for which a silent member is suspected before it counts
+// as dead: long enough to hear from it once more, and short enough to detect a dead member within three periods.
 const suspicionHalfPeriods = 3
 
 func (r *Router) buildState() (err error) {
@@ -112,12 +112,12 @@
 	self := membership.Update{
 		Name: v.Name(), FailureDomain: v.FailureDomain(), Incarnation: uint64(time.Since(incarnationEpoch) / time.Second),
 	}
-	r.kernel.Register(nameMembers, membership.New(self, suspicionHalfPeriods*r.settings.Peers().Period()/2))
-	r.kernel.Register(nameHealth, &health.Table{})
-	r.kernel.Register(nameLedger, &ledger.Ledger{})
-	r.kernel.Register(nameProbe, probe.New(r.health(), r.ledger(), r.meter(), r.settings.Routing().ProbePeriod(),
+	r.manager.Register(nameMembers, membership.New(self, suspicionHalfPeriods*r.settings.Peers().Period()/2))
+	r.manager.Register(nameHealth, &health.Table{})
+	r.manager.Register(nameLedger, &ledger.Ledger{})
+	r.manager.Register(nameProbe, probe.New(r.health(), r.ledger(), r.meter(), r.settings.Routing().ProbePeriod(),
 		r.settings.Routing().Maturity(), r.logger))
-	r.kernel.Register(nameSpills, &overflow.Table{})
+	r.manager.Register(nameOverflows, &overflow.Table{})
 	return nil
 }
 
@@ -128,11 +128,11 @@
 		return err
 	}
 	l := platformlog.New(s.Platform().Log(), client)
-	r.kernel.Register(nameLog, l)
+	r.manager.Register(nameLog, l)
 	f := configuration.New(l, r.logger)
 	f.OnChange(r.probe().Configure)
-	r.kernel.Register(nameConfiguration, f)
-	r.kernel.Register(nameClaims, claims.New(l, s.VM().Name(), s.Claims().Partitions(),
+	r.manager.Register(nameConfiguration, f)
+	r.manager.Register(nameClaims, claims.New(l, s.VM().Name(), s.Claims().Partitions(),
 		s.Claims().KeyRetention(), s.Claims().Validity(), r.logger))
 	return nil
 }
@@ -158,7 +158,7 @@
 	}
 	agent, err := peer.New(s.Peers().Address(), peer.Config{
 		Members: r.members(), Ledger: r.ledger(), Health: r.health(), Configuration: r.follower(), Prober: r.probe(),
-		Claims: r.claims(), Spills: r.spills(), Meter: r.meter(), Logger: r.logger, TLS: cfg, Period: s.Peers().Period(), BytesPerSecond: s.Peers().BytesPerSecond(),
+		Claims: r.claims(), Spills: r.overflows(), Meter: r.meter(), Logger: r.logger, TLS: cfg, Period: s.Peers().Period(), BytesPerSecond: s.Peers().BytesPerSecond(),
 	})
 	if err != nil {
 		return err
@@ -167,16 +167,16 @@
 	r.follower().SetPeers(agent)
 	r.claims().SetPeers(r.members(), agent)
 	r.probe().SetPeers(r.members(), gossip{agent})
-	r.kernel.Register(namePeers, agent)
+	r.manager.Register(namePeers, agent)
 	client, err := r.platformClient(traffic.KindVMList)
 	if err != nil {
 		return err
 	}
-	r.kernel.Register(nameVMWatcher, &vmWatcher{
+	r.manager.Register(nameVMWatcher, &vmWatcher{
 		list: vmlist.New(s.Platform().VMList(), client), members: r.members(), probe: r.probe(),
 		period: s.Platform().VMListPeriod(), logger: r.logger,
 	})
-	r.kernel.Register(nameSnapshots, &snapshotWriter{
+	r.manager.Register(nameSnapshots, &snapshotWriter{
 		follower: r.follower(), members: r.members(), retention: s.Platform().Retention(), logger: r.logger,
 	})
 	return nil
@@ -190,11 +190,11 @@
 		return nil
 	}
 	ownsDuty := func(duty string) bool { return r.members().Assigned(duty, 1) }
-	l := leases.New(r.kernel.Find(nameLog).(*platformlog.Client), s.VM().Name(),
+	l := leases.New(r.manager.Find(nameLog).(*platformlog.Client), s.VM().Name(),
 		lease.Terms{Term: s.Orders().LeaseTerm(), MaxAction: s.Orders().MaxAction()}, ownsDuty, r.logger)
-	r.kernel.Register(nameLeases, l)
+	r.manager.Register(nameLeases, l)
 	client := &http.Client{Transport: r.meter().Transport(traffic.KindOrders), Timeout: s.Orders().MaxAction()}
-	r.kernel.Register(nameOrders, rollout.New(l, r.follower(), r.health(), client, s.Orders().Period(),
+	r.manager.Register(nameOrders, rollout.New(l, r.follower(), r.health(), client, s.Orders().Period(),
 		s.Orders().MaxAction(), s.Orders().LoadsPerSecond(), r.logger))
 	return nil
 }
@@ -210,7 +210,7 @@
 	g.agent.BroadcastLeavingMark(peer.LeavingMark{Endpoint: name, Incarnation: incarnation})
 }
 
-func (r *Router) buildFront() (err error) {
+func (r *Router) buildCallerServer() (err error) {
 	s := r.settings
 	policy, _ := placement.New(s.Routing().Policy(), s.Routing().Bound(), s.Routing().NewBound(), uint64(time.Now().UnixNano()))
 	key, err := readSecret(s.Routing().TicketKeyFile())
@@ -218,40 +218,40 @@
 		return err
 	}
 	gate := admission.NewGate(s.Limits().QueueLength(), r.poolLimit)
-	r.kernel.Register(nameAdmission, gate)
-	r.kernel.Register(nameEndpoints, endpoint.New(r.probe()))
-	f := caller.New(caller.Config{
+	r.manager.Register(nameAdmission, gate)
+	r.manager.Register(nameEndpoints, endpoint.New(r.probe()))
+	callerServer := caller.New(caller.Config{
 		Configuration: r.follower(), Endpoints: r.endpoints(), Admission: gate, Claims: r.claims(),
-		Ledger: r.ledger(), Health: r.health(), Policy: policy, Tickets: ticket.NewSealer(key), Spills: r.spills(),
+		Ledger: r.ledger(), Health: r.health(), Policy: policy, Tickets: ticket.NewSealer(key), Spills: r.overflows(),
 		Tokens: &tokens.Estimator{}, CacheValue: &tokens.CacheValue{}, Retries: retrybudget.NewBudget(s.Limits().RetryRatio()), Decisions: &decision.Log{},
 		Tracer: r.tracing().Tracer(), Metrics: r.metrics(), Logger: r.logger, Callers: s.Callers(),
 		Limits: s.Limits(),
 	})
-	r.kernel.Register(nameFront, f)
+	r.manager.Register(nameCallerServer, callerServer)
 	cfg, err := serverTLS(s.Callers().Certificate(), s.Callers().Key())
 	if err != nil {
 		return err
 	}
-	server, err := httpserver.New(s.Callers().Address(), f.Handler(), httpserver.Options{
+	server, err := httpserver.New(s.Callers().Address(), callerServer.Handler(), httpserver.Options{
 		MaxHeaderBytes: s.Callers().MaxHeaderBytes(), HeaderTimeout: s.Callers().HeaderTimeout(), TLS: cfg,
 	})
 	if err != nil {
 		return err
 	}
-	r.kernel.Register(nameCallers, server)
+	r.manager.Register(nameCallers, server)
 	return nil
 }
 
-// poolLimit returns this router's part of the concurrent requests that a pool may have. All routers have the same part,
-// because the load balancer distributes callers evenly.
+// poolLimit returns this router's share of the concurrent requests that a pool may have. All routers have the same
+// part, because the load balancer distributes callers evenly.
 func (r *Router) poolLimit(pool string) int {
 	total := r.ledger().Capacity(pool, r.settings.Limits().RequestsPerEndpoint())
 	return max(total/r.members().Count(), 1)
 }
 
 // operatorHeaderTimeout bounds reading the header of an operator's request. operatorStopTimeout bounds stopping the
-// operators' server: it stops before the callers' server, and an operator that doesn't complete its header must not use up
-// the time for the responses to callers.
+// operators' server: it stops before the callers' server, and an operator that doesn't complete its header must not use
+// up the time for the responses to callers.
 const (
 	operatorHeaderTimeout = 10 * time.Second
 	operatorStopTimeout   = 2 * time.Second
@@ -261,8 +261,8 @@
 	s := r.settings
 	api := operator.New(operator.Dependencies{
 		VM: s.VM().Name(), FailureDomain: s.VM().FailureDomain(), Configuration: r.follower(), Members: r.members(),
-		Ledger: r.ledger(), Health: r.health(), Decisions: r.front().Decisions, Meter: r.meter(),
-		Metrics: r.metrics(), Waiting: r.gate().Queued, Claims: r.claims().KeyCount, Draining: r.front().Draining,
+		Ledger: r.ledger(), Health: r.health(), Decisions: r.callerServer().Decisions, Meter: r.meter(),
+		Metrics: r.metrics(), Waiting: r.gate().Queued, Claims: r.claims().KeyCount, Draining: r.callerServer().Draining,
 	})
 	cfg, err := serverTLS(s.Operators().Certificate(), s.Operators().Key())
 	if err != nil {
@@ -274,13 +274,13 @@
 	if err != nil {
 		return err
 	}
-	r.kernel.Register(nameOperators, server)
+	r.manager.Register(nameOperators, server)
 	return nil
 }
 
 // Start starts all services.
 func (r *Router) Start(ctx context.Context) (err error) {
-	err = r.kernel.Start(ctx)
+	err = r.manager.Start(ctx)
 	if err == nil {
 		_ = r.logger.Log("event", "started", "callers", r.CallerAddress(), "operators", r.OperatorAddress(), "peers", r.PeerAddress())
 	}
@@ -291,13 +291,13 @@
 // services stop.
 func (r *Router) Stop(ctx context.Context) (err error) {
 	_ = r.logger.Log("event", "draining")
-	r.front().Drain()
+	r.callerServer().Drain()
 	r.members().Leave()
 	select {
 	case <-time.After(r.settings.Callers().LameDuck()):
 	case <-ctx.Done():
 	}
-	err = r.kernel.Stop(ctx)
+	err = r.manager.Stop(ctx)
 	_ = r.logger.Log("event", "stopped", "err", err)
 	return err
 }
@@ -313,7 +313,7 @@
 		_ = s.Stop(ctx)
 	}
 	for _, name := range []string{nameVMWatcher, nameSnapshots, nameOrders, nameLeases} {
-		if s, ok := r.kernel.Lookup(name).(lifecycle.Service); ok {
+		if s, ok := r.manager.Lookup(name).(lifecycle.Service); ok {
 			_ = s.Stop(ctx)
 		}
 	}
