--- a/io/standin/engine/completions.go
+++ b/io/standin/engine/completions.go
@@ -346,6 +346,6 @@
 	httpjson.WriteJSON(w, r)
 }
 
-func (e *Engine) handleTruth(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleActualState(w http.ResponseWriter, _ *http.Request) {
 	httpjson.WriteJSON(w, e.ActualState())
 }
--- a/io/standin/engine/engine.go
+++ b/io/standin/engine/engine.go
@@ -107,7 +107,7 @@
 	m.HandleFunc("/savoryfall/events", e.handleEvents).Methods(http.MethodGet)
 	m.HandleFunc("/savoryfall/orders", e.handleOrder).Methods(http.MethodPut)
 	m.HandleFunc("/faults", e.handleSetFaults).Methods(http.MethodPut)
-	m.HandleFunc("/truth", e.handleTruth).Methods(http.MethodGet)
+	m.HandleFunc("/truth", e.handleActualState).Methods(http.MethodGet)
 	return m
 }
 
@@ -116,7 +116,8 @@
 	background.Every(ctx, e.opts.StepInterval, e.step)
 }
 
-// ActualState is the engine's actual state without the lag of its reports; only tests and load runs read it, never routers.
+// ActualState is the engine's actual state without the lag of its reports; only tests and load runs read it, never
+// routers.
 type ActualState struct {
 	Name         string `json:"name"`
 	Incarnation  string `json:"incarnation"`
--- a/io/standin/engine/shadow.go
+++ b/io/standin/engine/referencecache.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// ReferenceCache is a reference cache with the capacity of all engines together. It shows how many tokens would be found by a
-// router that knows every cache and always chooses the endpoint that holds the prefix.
+// ReferenceCache is a reference cache with the capacity of all engines together. It shows how many tokens would be
+// found by a router that knows every cache and always chooses the endpoint that holds the prefix.
 type ReferenceCache struct {
 	mu    sync.Mutex
 	cache *prefixCache
@@ -19,40 +19,40 @@
 }
 
 // LookUp returns the number of tokens in the prompt and how many of them were cached, and then caches the prompt.
-func (s *ReferenceCache) LookUp(messages []byte) (prompt, found int) {
+func (c *ReferenceCache) LookUp(messages []byte) (prompt, found int) {
 	var parsed []message
 	if json.Unmarshal(messages, &parsed) != nil {
 		return 0, 0
 	}
 	prefixes := promptPrefixes(parsed)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	found = s.cache.lookUp(prefixes)
-	s.cache.add(prefixes)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	found = c.cache.lookUp(prefixes)
+	c.cache.add(prefixes)
 	return totalTokens(prefixes), found
 }
 
 // Add caches a prompt together with its answer.
-func (s *ReferenceCache) Add(messages []byte) {
+func (c *ReferenceCache) Add(messages []byte) {
 	var parsed []message
 	if json.Unmarshal(messages, &parsed) != nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.cache.add(promptPrefixes(parsed))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cache.add(promptPrefixes(parsed))
 }
 
 // EvictShare evicts each prefix with the given probability, to simulate the loss of some of the engines.
-func (s *ReferenceCache) EvictShare(share float64, random *rand.Rand) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for e := s.cache.recency.Front(); e != nil; {
+func (c *ReferenceCache) EvictShare(share float64, random *rand.Rand) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for e := c.cache.recency.Front(); e != nil; {
 		next := e.Next()
 		if random.Float64() < share {
-			p := s.cache.recency.Remove(e).(prefix)
-			delete(s.cache.byHash, p.hash)
-			s.cache.used -= p.tokens
+			p := c.cache.recency.Remove(e).(prefix)
+			delete(c.cache.byHash, p.hash)
+			c.cache.used -= p.tokens
 		}
 		e = next
 	}
