--- a/io/standin/httpjson/doc.go
+++ b/io/standin/httpjson/doc.go
@@ -1,2 +1,2 @@
-// Package wire reads and writes the JSON bodies of the stand-in services.
+// Package httpjson reads and writes the JSON bodies of the stand-in services.
 package httpjson
