--- a/io/standin/plainservice/service.go
+++ b/io/standin/plainservice/service.go
@@ -15,8 +15,8 @@
 	"savoryfall/io/standin/httpjson"
 )
 
-// Faults are the faults to inject; the zero value injects none. DropBefore, DropAfter, TruncateAnswers, WrongAttemptNext and
-// DropMidAnswer count down: each affects that many calls.
+// Faults are the faults to inject; the zero value injects none. DropBefore, DropAfter, TruncateAnswers,
+// WrongAttemptNext and DropMidAnswer count down: each affects that many calls.
 type Faults struct {
 	Refuse           bool `json:"refuse"`
 	Leaving          bool `json:"leaving"`
