--- a/io/storeconfig/doc.go
+++ b/io/storeconfig/doc.go
@@ -1,2 +1,2 @@
-// Package desired holds the configuration that is in force, as read from the platform's store.
+// Package storeconfig tracks the configuration in force, as read from the platform's store.
 package storeconfig
--- a/io/storeconfig/keeper.go
+++ b/io/storeconfig/tracker.go
@@ -28,58 +28,58 @@
 	onChange      func(t *routetable.Table)
 }
 
-// New returns a keeper that renews the lease with each read and calls onChange with each newer configuration.
+// New returns a tracker that renews the lease with each read and calls onChange with each newer configuration.
 func New(d Decoder, l *freshness.Lease, onChange func(t *routetable.Table), logger log.Logger) *Tracker {
 	return &Tracker{decoder: d, lease: l, onChange: onChange, logger: logger}
 }
 
 // Current returns the configuration in force, or nil before the first one.
-func (k *Tracker) Current() *routetable.Table { return k.current.Load() }
+func (tr *Tracker) Current() *routetable.Table { return tr.current.Load() }
 
 // Record returns the record of the configuration in force, or nil before the first one.
-func (k *Tracker) Record() *compactedlog.Record { return k.currentRecord.Load() }
+func (tr *Tracker) Record() *compactedlog.Record { return tr.currentRecord.Load() }
 
 // Replace applies the newest record of every key.
-func (k *Tracker) Replace(records []compactedlog.Record) { k.Apply(records) }
+func (tr *Tracker) Replace(records []compactedlog.Record) { tr.Apply(records) }
 
 // Apply puts the newest configuration among the records in force. Older versions are ignored: a read that was
 // overtaken by another one must not restore a withdrawn key.
-func (k *Tracker) Apply(records []compactedlog.Record) {
+func (tr *Tracker) Apply(records []compactedlog.Record) {
 	for _, r := range records {
-		t, ok, err := k.decoder.Decode(r)
+		t, ok, err := tr.decoder.Decode(r)
 		if err != nil {
-			_ = k.logger.Log(field.Event, event.ConfigurationUnreadable, field.Offset, r.Offset, field.Err, err)
+			_ = tr.logger.Log(field.Event, event.ConfigurationUnreadable, field.Offset, r.Offset, field.Err, err)
 			continue
 		}
 		if ok {
-			k.activate(t, r)
+			tr.activate(t, r)
 		}
 	}
 }
 
-func (k *Tracker) activate(t *routetable.Table, r compactedlog.Record) {
-	old := k.current.Load()
+func (tr *Tracker) activate(t *routetable.Table, r compactedlog.Record) {
+	old := tr.current.Load()
 	if old != nil && t.Version() <= old.Version() {
 		return
 	}
-	k.current.Store(t)
-	k.currentRecord.Store(&r)
-	k.onChange(t)
+	tr.current.Store(t)
+	tr.currentRecord.Store(&r)
+	tr.onChange(t)
 	from := int64(0)
 	if old != nil {
 		from = old.Version()
 	}
-	_ = k.logger.Log(field.Event, event.ConfigurationInForce, field.Version, t.Version(), field.From, from, field.Offset, r.Offset, field.Routes, t.RouteCount(),
-		field.IdleMs, t.Limits().IdleTimeout.Milliseconds(), field.HeaderMs, t.Limits().HeaderTimeout.Milliseconds())
+	_ = tr.logger.Log(field.Event, event.ConfigurationInForce, field.Version, t.Version(), field.From, from, field.Offset, r.Offset,
+		field.Routes, t.RouteCount(), field.IdleMs, t.Limits().IdleTimeout.Milliseconds(), field.HeaderMs, t.Limits().HeaderTimeout.Milliseconds())
 }
 
 // Read renews the lease. Before the first configuration there is nothing to serve requests with, so the lease is
 // not renewed.
-func (k *Tracker) Read(sent time.Duration) {
-	if k.current.Load() != nil {
-		k.lease.Renew(sent)
+func (tr *Tracker) Read(sent time.Duration) {
+	if tr.current.Load() != nil {
+		tr.lease.Renew(sent)
 	}
 }
 
 // Failed does nothing: without successful reads the lease expires.
-func (k *Tracker) Failed(error) {}
+func (tr *Tracker) Failed(error) {}
