--- a/io/tracing/tracing.go
+++ b/io/tracing/tracing.go
@@ -21,7 +21,8 @@
 	file     *os.File
 }
 
-// New exports spans to the OTLP URL, or appends them to the file if the URL is empty. If both are empty, spans are discarded.
+// New exports spans to the OTLP URL, or appends them to the file if the URL is empty. If both are empty, spans are
+// discarded.
 func New(ctx context.Context, vm, otlpURL, file string) (t *Provider, err error) {
 	defer annotate.Error(&err, "set up traces")
 	t = &Provider{}
