--- a/io/traffic/doc.go
+++ b/io/traffic/doc.go
@@ -1,2 +1,2 @@
-// Package meter counts the bytes and calls of control traffic, per kind and at the connection.
+// Package traffic counts the bytes and calls of control traffic, per kind and at the connection.
 package traffic
