--- a/io/vmlist/client.go
+++ b/io/vmlist/client.go
@@ -39,8 +39,8 @@
 	return &Client{base: base, client: client}
 }
 
-// Fetch fetches the list, which may be out of date. If the list still has the given ETag, the server sends no body and changed is
-// false.
+// Fetch fetches the list, which may be out of date. If the list still has the given ETag, the server sends no body and
+// changed is false.
 func (l *Client) Fetch(ctx context.Context, etag string) (vms []VM, newETag string, changed bool, err error) {
 	defer annotate.Error(&err, "read VM list")
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, l.base+"/v1/vms", nil)
