--- a/core/dispatch/breaker_test.go
+++ b/core/dispatch/breaker_test.go
@@ -28,7 +28,7 @@
 // An engine is lost while the service is busy. It has no load, so it looked like the best one: 24 of 50 requests were
 // sent there and refused, until the directory dropped it some seconds later. One request must be enough to find out,
 // and then one after each pause.
-func TestLostEndpointDrawsNoRequests(t *testing.T) {
+func TestLostEndpointGetsNoRequests(t *testing.T) {
 	for _, v := range []dispatch.Verdict{dispatch.Unreachable, dispatch.Silent} {
 		d, _ := newDispatcher(3)
 		lost := failAt(t, d, "models1", v, 50, start)
@@ -75,7 +75,7 @@
 
 // Requests that were sent to a lost endpoint together all fail during its pause. They must count as one failure:
 // counted one by one, they made the first pause the longest.
-func TestRequestsLostTogetherAreOneFinding(t *testing.T) {
+func TestRequestsLostTogetherCountAsOneFailure(t *testing.T) {
 	d, _ := newDispatcher(2)
 	var there []*dispatch.Attempt
 	for i := range 20 {
--- a/core/dispatch/caches_test.go
+++ b/core/dispatch/caches_test.go
@@ -91,7 +91,7 @@
 // Engines are replaced one after the other and serve for some seconds after they left, while all clients ask for the
 // same documents. What a leaving engine has cached must be fetched from it while it serves: nothing of it may be read
 // again.
-func TestReplacedEngineIsNotReadAgain(t *testing.T) {
+func TestPromptsOfReplacedEnginesAreNotReadAgain(t *testing.T) {
 	l := newCacheFleet(t)
 	l.generate(20 * time.Second)
 	_, entries := newDispatcher(cacheEngines)
--- a/core/dispatch/dispatch_test.go
+++ b/core/dispatch/dispatch_test.go
@@ -118,7 +118,7 @@
 // A new engine becomes the home of a question whose shared part another engine has cached. Other routers may have sent
 // it there already, but this one does not know: it must have the part fetched. When the assumption alone counted, the
 // part was read a second time at each new home.
-func TestNewHomeFetchesWhatItIsOnlyBelievedToHold(t *testing.T) {
+func TestNewHomeFetchesAssumedCache(t *testing.T) {
 	q := func(own uint64) dispatch.Query {
 		return dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: 1, Tokens: 700}, {ID: 100 + own, Tokens: 130}}}
 	}
@@ -154,7 +154,7 @@
 // One of three endpoints fails every second request while its health checks pass. After a few failures it must get
 // hardly any requests, and be tried again when the failures have decayed. It is then chosen at random among equals: a
 // fault that makes it chosen too seldom shows with some seeds only.
-func TestGreyEndpointIsAvoidedAndTriedAgain(t *testing.T) {
+func TestPartlyFailingEndpointIsAvoidedAndRetried(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		d, _ := newDispatcher(3)
 		d.Seed(seed)
@@ -289,7 +289,7 @@
 
 // Of two requests with one document the second finds it cached; the load of the busiest endpoint is compared with the
 // mean.
-func TestMeasures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	d, _ := newDispatcher(2)
 	assert.Equal(t, d.CurrentMetrics(start).MaxOverMean, 0.0)
 	for i := range uint64(2) {
@@ -319,7 +319,7 @@
 
 // The directory changes while an attempt is under way: the attempt must keep the entry that it began with. The router
 // and the reader of the directory once shared that entry without a lock.
-func TestListChangesUnderAnAttempt(t *testing.T) {
+func TestDirectoryChangesDuringAttempt(t *testing.T) {
 	d, entries := newDispatcher(1)
 	a := choose(t, d, dispatch.Query{Service: plain}, start)
 	before := a.Endpoint()
--- a/core/dispatch/drain_test.go
+++ b/core/dispatch/drain_test.go
@@ -104,7 +104,7 @@
 
 // Guards against engines that fail because they get the load of a warm engine when their domain is used again. A
 // single router may send nine tenths of what an engine can take.
-func TestReturnOfADrainedDomainIsCold(t *testing.T) {
+func TestEnginesOfReturnedDomainAreCold(t *testing.T) {
 	d, _ := newTwoDomains(1)
 	now := start.Add(time.Minute)
 	d.SetDrained([]string{"b"}, now)
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -67,7 +67,7 @@
 // A surge of quick questions, four times what the engines can serve, comes with as many drafts as they can serve.
 // Drafts were refused as often as questions, since whoever came first was admitted. Questions must leave capacity for
 // the drafts that come later, and get what the drafts leave.
-func TestLessUrgentLeaveRoom(t *testing.T) {
+func TestLessUrgentRequestsLeaveCapacity(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		c := newRankedLoad(t, 4)
 		c.d.Seed(seed)
@@ -80,7 +80,7 @@
 }
 
 // Urgent requests alone exceed what the engines can serve: they must get all of the capacity.
-func TestUrgentFillAllPlaces(t *testing.T) {
+func TestUrgentRequestsUseAllCapacity(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		c := newRankedLoad(t, 2)
 		c.d.Seed(seed)
@@ -91,7 +91,7 @@
 }
 
 // While half of a service's capacity is free, nothing is refused, whatever is expected.
-func TestNobodyIsRefusedWhileHalfIsFree(t *testing.T) {
+func TestNothingIsRefusedWhileHalfIsFree(t *testing.T) {
 	c := newRankedLoad(t, 4)
 	n := c.run(60, 4*time.Second)
 	assert.Equal(t, n.urgentRefused+n.othersRefused, 0, "%+v", n)
@@ -99,7 +99,7 @@
 
 // A plain service answers each call in some milliseconds, so that its capacity is free again at once: hardly any may
 // be reserved, even for many urgent calls.
-func TestShortCallsKeepFewPlaces(t *testing.T) {
+func TestShortCallsReserveLittleCapacity(t *testing.T) {
 	d, _ := newDispatcher(4)
 	now := start
 	refused := 0
@@ -165,7 +165,7 @@
 // One of four accounts sends ten times as much as each of the others, twice what the engines can serve in all.
 // Requests of the others were refused as often as those of the large one, every second time. Random choice remains
 // only for the moments when all capacity is taken.
-func TestSurgeOfOneAccountSparesTheOthers(t *testing.T) {
+func TestSurgeOfOneAccountDoesNotStarveOthers(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		d, _ := newDispatcher(4)
 		d.Seed(seed)
--- a/core/dispatch/surge_test.go
+++ b/core/dispatch/surge_test.go
@@ -310,7 +310,7 @@
 // A router does a call in 15 ms and has none for a while. The others have so many urgent ones that these take half of
 // the slots at any time. The router forgot the hold time of a call, planned for 600 ms, in which forty times as many
 // calls come, and refused all less urgent calls.
-func TestHoldTimeIsNotForgotten(t *testing.T) {
+func TestHoldTimeIsKeptWhileIdle(t *testing.T) {
 	d, _ := newDispatcher(4)
 	a := choose(t, d, dispatch.Query{Service: plain, Rank: 1}, start)
 	now := start.Add(15 * time.Millisecond)
@@ -353,7 +353,7 @@
 
 // Other routers reported untracked calls, which an endpoint works on though nobody waits for them. They must count
 // until they have ended, some ten milliseconds, and not until the next report, when the endpoint has long been free.
-func TestHiddenCallsOfOthersEnd(t *testing.T) {
+func TestUntrackedCallsOfOthersEnd(t *testing.T) {
 	d, _ := newDispatcher(1)
 	a := choose(t, d, dispatch.Query{Service: plain}, start)
 	now := start.Add(15 * time.Millisecond)
--- a/io/httpserver/server_test.go
+++ b/io/httpserver/server_test.go
@@ -180,7 +180,7 @@
 // goroutine has not continued because the VM gets no CPU time for a moment. Shutdown of net/http drops such a
 // request, on new and on keep-alive connections, and the client sees only a closed connection, with no log line and
 // no metric.
-func TestStopServesWhatItHasRead(t *testing.T) {
+func TestStopServesCompletelyReadRequests(t *testing.T) {
 	forEachConnection(t, func(t *testing.T, s *testServer, c *client) {
 		before := s.handled.Load()
 		stopped := make(chan chan time.Duration, 1)
@@ -202,7 +202,7 @@
 
 // Guards against closing a connection on which half of a request's header has arrived when the server stops. Shutdown
 // closed it as idle.
-func TestStopWaitsForARequestThatIsBeingRead(t *testing.T) {
+func TestStopWaitsForPartialHeader(t *testing.T) {
 	forEachConnection(t, func(t *testing.T, s *testServer, c *client) {
 		const half = 30
 		_, _ = io.WriteString(c, testRequest[:half])
@@ -260,7 +260,7 @@
 
 // A client that does not finish its header, or is silent after the TLS handshake, is disconnected soon after the
 // header timeout.
-func TestLateHeaderEndsItsConnection(t *testing.T) {
+func TestHeaderTimeoutClosesConnection(t *testing.T) {
 	const limit = 200 * time.Millisecond
 	for name, partial := range map[string]string{"plain": "POST / HTTP/1.1\r\n", "TLS": ""} {
 		t.Run(name, func(t *testing.T) {
--- a/io/hub/agent_test.go
+++ b/io/hub/agent_test.go
@@ -218,7 +218,7 @@
 
 // The router with the most cores reads the store for all. The others receive its endpoints, the total loads and the
 // configuration that they cannot read from the store themselves.
-func TestOneReadsForAll(t *testing.T) {
+func TestHubReadsForAllRouters(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{"odd": []byte("{")}}
 	big := startRouter(t, l, "big", 4, readUpTo(5, 0))
 	big.fakeRegistry.changes.Add(fleetload.Change{Entry: directory.Entry{ID: "x"}, Usable: true})
@@ -237,7 +237,7 @@
 
 // A hub sends a changed configuration to its followers: when each router read it from the store, one change took
 // eighty calls. A large configuration is sent only to routers that cannot read it, to spare the hub's link.
-func TestLargeConfigurationIsGivenOnlyToWhoCannotRead(t *testing.T) {
+func TestLargeConfigurationSentOnlyToRoutersThatCannotRead(t *testing.T) {
 	for _, c := range []struct {
 		size    int
 		failing bool
@@ -263,7 +263,7 @@
 // that reads by itself meanwhile has removed the endpoint when it reports to the hub again: it must not add the
 // endpoint back from the hub's old list, and must leave the hub. Otherwise requests went to such endpoints beyond the
 // limit of two seconds.
-func TestHubThatIsBehindIsNotFollowed(t *testing.T) {
+func TestStaleHubIsLeft(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{}}
 	big := startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
 	big.fakeRegistry.changes.Add(fleetload.Change{Entry: directory.Entry{ID: "left"}, Usable: true})
@@ -284,7 +284,7 @@
 
 // As above, but this router's last read before the outage is newer than the hub's. It may try another hub, at most
 // one a second. When routers left hubs as fast as they replied, each became a root, which polls the store more often.
-func TestHubsAreNotLeftInARow(t *testing.T) {
+func TestHubChangesAreRateLimited(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{}}
 	startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
 	startRouter(t, l, "middle", 3, readUpTo(5, 6*time.Second))
@@ -294,7 +294,7 @@
 
 // The store refuses the hub and this router, but not a third router. This router can keep serving keyed requests with
 // what the third one reads. When it stayed with the hub, it refused them until the store accepted it again.
-func TestTurnedAwayRouterFindsAHubThatReads(t *testing.T) {
+func TestRefusedRouterFindsHubThatReads(t *testing.T) {
 	l := &fakeRouterTopic{values: map[string][]byte{}}
 	startRouter(t, l, "big", 4, readUpTo(5, 7*time.Second))
 	startRouter(t, l, "middle", 3, readUpTo(9, 100*time.Millisecond))
--- a/io/hub/drain_test.go
+++ b/io/hub/drain_test.go
@@ -39,7 +39,7 @@
 }
 
 // Guards against routers that keep using a drained failure domain, or keep avoiding it after the drain.
-func TestDrainReachesAll(t *testing.T) {
+func TestDrainReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	for n, times := range map[int]int{100: 3, 300: 10} {
 		synctest.Test(t, func(t *testing.T) {
@@ -62,7 +62,7 @@
 }
 
 // Guards against a drain that is lost together with the hubs that were about to pass it on.
-func TestDrainWhileHubsAreLost(t *testing.T) {
+func TestDrainDuringHubLoss(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{100, 300} {
 		for _, silent := range []bool{false, true} {
@@ -80,7 +80,7 @@
 }
 
 // Guards against a drain that reaches only the routers that the store serves.
-func TestDrainWhileTheStoreTurnsSomeAway(t *testing.T) {
+func TestDrainWhileStoreRefusesSomeRouters(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{100, 300} {
 		synctest.Test(t, func(t *testing.T) {
@@ -97,7 +97,7 @@
 
 // Guards against routers that start during a drain and do not learn of it, even if compaction has left only its
 // record.
-func TestDrainIsKnownAfterAStart(t *testing.T) {
+func TestDrainIsKnownAfterRestart(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{100, 300} {
 		synctest.Test(t, func(t *testing.T) {
@@ -123,7 +123,7 @@
 
 // Guards against a failure domain that stays drained because the record that ends the drain was compacted away before
 // it was read.
-func TestDrainEndsUnseen(t *testing.T) {
+func TestDrainEndLostInCompaction(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{100, 300} {
 		synctest.Test(t, func(t *testing.T) {
--- a/io/hub/epoch_test.go
+++ b/io/hub/epoch_test.go
@@ -46,7 +46,7 @@
 // Two routers start at the same instant, as the VMs of a fleet do, and become the hub one after the other. The
 // sequence numbers of one mean nothing to the other: when both had the same epoch, routers that changed hubs were not
 // told that an endpoint was leaving.
-func TestHubsOfTheSameInstantAreToldApart(t *testing.T) {
+func TestHubsStartedAtTheSameInstantHaveDifferentEpochs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, earlier := newTestHub(t, "first")
 		second, later := newTestHub(t, "second")
--- a/io/hub/refusedhub_test.go
+++ b/io/hub/refusedhub_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a configuration that reaches most routers late because the store refuses their hub and also the
 // first routers that are asked to read for it.
-func TestTurnedAwayHubIsToldInTime(t *testing.T) {
+func TestRefusedHubLearnsConfigurationInTime(t *testing.T) {
 	t.Parallel()
 	// With most seeds one of the routers asked first can read; with these none can.
 	for _, seed := range []uint64{15, 23, 43, 54} {
