--- a/Makefile
+++ b/Makefile
@@ -22,7 +22,7 @@
 	$(TOOLS)/gofumpt -w .
 
 # The properties again with many more histories than a usual run has, and others each time.
-PROPERTIES := claim directory fairness inforce lease membership retryshare
+PROPERTIES := activeconfig claim directory fairness lease membership retrylimit
 
 long:
 	go test $(PROPERTIES:%=./core/%) -rapid.checks=20000 -rapid.seed=0
--- a/core/field/field.go
+++ b/core/field/field.go
@@ -21,7 +21,7 @@
 	Route Name = "route"
 	// Status is the HTTP status of the response; 0 if the client did not receive a complete one.
 	Status Name = "status"
-	// Reason is why the request was not served, an ask.Reason.
+	// Reason is why the request was not served, a request.Reason.
 	Reason Name = "reason"
 	// Outcome tells whether the request may have run, an outcome.Outcome.
 	Outcome Name = "outcome"
--- a/core/loadplan/plan.go
+++ b/core/loadplan/plan.go
@@ -92,7 +92,7 @@
 
 const maxDuration = 10 * time.Minute
 
-// Parse parses and validates a plan. The error is a tomldoc.Faults that lists all errors.
+// Parse parses and validates a plan. The error is a tomldoc.Errors that lists all errors.
 func Parse(file string, data []byte) (p *Plan, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
--- a/core/settings/entry.go
+++ b/core/settings/entry.go
@@ -57,7 +57,7 @@
 // Slack returns the number of requests per second allowed in addition to that.
 func (c ColdLimits) Slack() float64 { return c.slack }
 
-// ParseEntry parses and validates a settings file. The error is a tomldoc.Faults that lists all errors.
+// ParseEntry parses and validates a settings file. The error is a tomldoc.Errors that lists all errors.
 func ParseEntry(file string, data []byte) (s *Entry, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -20,7 +20,7 @@
 	traces    Traces
 }
 
-// Parse parses and validates a settings file. The error is a tomldoc.Faults that lists all errors.
+// Parse parses and validates a settings file. The error is a tomldoc.Errors that lists all errors.
 func Parse(file string, data []byte) (s *Settings, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
--- a/io/command/lognames_test.go
+++ b/io/command/lognames_test.go
@@ -105,7 +105,7 @@
 func TestOperationsPageDocumentsReasonsAndEndings(t *testing.T) {
 	page, err := os.ReadFile(operationsPage)
 	assert.NilError(t, err)
-	words := values(constantsOf(t, root+"/core/ask/problem.go", "Reason"))
+	words := values(constantsOf(t, root+"/core/request/problem.go", "Reason"))
 	for _, ending := range clientconn.CloseReasons() {
 		words = append(words, string(ending))
 	}
@@ -255,7 +255,7 @@
 	r := &logCallChecker{fset: token.NewFileSet(), fields: map[string]bool{}, events: map[string]bool{}}
 	files, packages := loggingFiles(t, r.fset)
 	assert.DeepEqual(t, packages, []string{
-		"core/logstory", "io/clientconn", "io/command", "io/desired", "io/draining", "io/entry", "io/follow", "io/hub", "io/registry", "io/stdout",
+		"core/loganalysis", "io/clientconn", "io/command", "io/draining", "io/entry", "io/follow", "io/hub", "io/logwriter", "io/registry", "io/storeconfig",
 	})
 	for _, f := range files {
 		ast.Inspect(f, r.visit)
--- a/io/httpserver/doc.go
+++ b/io/httpserver/doc.go
@@ -1,2 +1,2 @@
-// Package httpserver runs an HTTP server as a service of core/kernel.
+// Package httpserver runs an HTTP server as a service of core/lifecycle.
 package httpserver
--- a/soak/variants_test.go
+++ b/soak/variants_test.go
@@ -24,7 +24,7 @@
 		"core/routetable/table.go", "return k == Idempotent || k == ResumableStream", "return true",
 	},
 	"unknownOutcomeReportedAsNotRun": {
-		"platform/front/front.go", "return http.StatusBadGateway", "return http.StatusServiceUnavailable",
+		"platform/clientapi/codec.go", "return http.StatusBadGateway", "return http.StatusServiceUnavailable",
 	},
 	"leavingEndpointsGetRequests": {
 		"core/directory/directory.go", "if !r.removed && !r.entry.Leaving {", "if !r.removed {",
@@ -39,7 +39,7 @@
 		"io/clientconn/set.go", "> max(idle, c.limit)+idleSlack", "> s.limits().Idle+idleSlack",
 	},
 	"clientKeyIsForwarded": {
-		"platform/backend/backend.go", "\"Authorization\", headerInstance", "headerInstance",
+		"platform/endpointapi/codec.go", "\"Authorization\", headerInstance", "headerInstance",
 	},
 }
 
