--- a/core/activeconfig/apply.go
+++ b/core/activeconfig/apply.go
@@ -32,7 +32,7 @@
 func NoteRecord(text string) []byte {
 	data, err := json.Marshal(record{Kind: recordNote, Text: text})
 	if err != nil {
-		panic("inforce: cannot encode note as JSON: " + err.Error())
+		panic("activeconfig: cannot encode release note as JSON: " + err.Error())
 	}
 	return data
 }
--- a/core/activeconfig/apply_test.go
+++ b/core/activeconfig/apply_test.go
@@ -215,9 +215,9 @@
 	assert.ErrorContains(t, err, "digest")
 }
 
-// Two writers interleave the parts of their snapshots, and the data of one of them is invalid. Recovery still finds the
-// valid snapshot.
-func TestRecoveryFindsTheWholeSnapshot(t *testing.T) {
+// Two writers interleave the parts of their snapshots, and the data of one of them is invalid. The assembler still
+// finds the valid snapshot.
+func TestAssemblerFindsTheCompleteSnapshot(t *testing.T) {
 	records, _ := recordsOf([]edit{{items: []int{0}}, {items: []int{1}}})
 	data, err := applyAll(t, records).Snapshot()
 	assert.NilError(t, err)
--- a/core/activeconfig/configuration.go
+++ b/core/activeconfig/configuration.go
@@ -117,7 +117,7 @@
 func itemDigest(i releasenote.Item) uint64 {
 	values, err := json.Marshal(i.Values())
 	if err != nil {
-		panic("inforce: cannot encode item values as JSON: " + err.Error())
+		panic("activeconfig: cannot encode item values as JSON: " + err.Error())
 	}
 	return xxhash.Sum64String(i.Key() + "\x00" + string(values))
 }
--- a/core/activeconfig/doc.go
+++ b/core/activeconfig/doc.go
@@ -1,2 +1,2 @@
-// Package inforce computes the active configuration by applying release notes in log offset order.
+// Package activeconfig computes the active configuration by applying release notes in log offset order.
 package activeconfig
--- a/core/activeconfig/snapshot.go
+++ b/core/activeconfig/snapshot.go
@@ -115,7 +115,8 @@
 	return records, nil
 }
 
-// SnapshotAssembler reassembles snapshots from stream records and keeps the newest complete one. The zero value is ready to use.
+// SnapshotAssembler reassembles snapshots from stream records and keeps the newest complete one. The zero value is
+// ready to use.
 type SnapshotAssembler struct {
 	parts  map[string][][]byte
 	newest *Configuration
--- a/core/background/group.go
+++ b/core/background/group.go
@@ -10,7 +10,7 @@
 }
 
 // Go runs f in a goroutine, or ignores it if the group has stopped: an event that arrives while the service stops
-// must not start work that nobody waits for.
+// must not start work that nothing waits for.
 func (g *Group) Go(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/core/candidate/candidate.go
+++ b/core/candidate/candidate.go
@@ -5,12 +5,12 @@
 // Candidate is an endpoint as the placement policies see it. It holds no pointers, so that thousands lie side by side
 // in memory.
 type Candidate struct {
-	hash     uint64
-	weight   float64
-	requests float64
-	tokens   float64
-	usable   bool
-	young    bool
+	hash            uint64
+	weight          float64
+	requests        float64
+	tokens          float64
+	usable          bool
+	recentlyStarted bool
 }
 
 // New returns an unloaded, usable candidate.
@@ -45,7 +45,7 @@
 func (c *Candidate) SetWeight(weight float64) { c.weight = weight }
 
 // RecentlyStarted reports whether the endpoint was added recently, so that it has no earlier chat in its cache.
-func (c *Candidate) RecentlyStarted() bool { return c.young }
+func (c *Candidate) RecentlyStarted() bool { return c.recentlyStarted }
 
 // SetRecentlyStarted sets whether the endpoint was added recently.
-func (c *Candidate) SetRecentlyStarted(young bool) { c.young = young }
+func (c *Candidate) SetRecentlyStarted(recentlyStarted bool) { c.recentlyStarted = recentlyStarted }
--- a/core/chat/chat.go
+++ b/core/chat/chat.go
@@ -125,7 +125,8 @@
 	return b.Bytes()
 }
 
-// ResumeBody returns a request body that asks an engine to continue after the text that the client has already received.
+// ResumeBody returns a request body that asks an engine to continue after the text that the client has already
+// received.
 func (c *Chat) ResumeBody(text string) (body []byte, err error) {
 	defer annotate.Error(&err, "write resumed request")
 	var fields map[string]json.RawMessage
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -61,59 +61,59 @@
 	return data
 }
 
-// NewBook returns a book that keeps keys for the window, measured by the timestamps that the log assigns to its
+// NewBook returns a table that keeps keys for the window, measured by the timestamps that the log assigns to its
 // records.
 func NewBook(window time.Duration) *Table {
 	return &Table{window: window, claims: map[claimID]*claim{}}
 }
 
 // Next returns the offset of the first record that has not been applied.
-func (b *Table) Next() int64 { return b.next }
+func (t *Table) Next() int64 { return t.next }
 
 // SkipTo continues at a later offset because the log has trimmed the records before it. Keys may have been claimed in
-// the skipped records, so the book is complete only from the given time on.
-func (b *Table) SkipTo(offset int64, completeSince time.Time) {
-	b.next = offset
-	b.completeSince = completeSince
+// the skipped records, so the table is complete only from the given time on.
+func (t *Table) SkipTo(offset int64, completeSince time.Time) {
+	t.next = offset
+	t.completeSince = completeSince
 }
 
 // CompleteAt reports whether every claim within the window before now has been read.
-func (b *Table) CompleteAt(now time.Time) bool {
-	return b.completeSince.IsZero() || now.Sub(b.completeSince) >= b.window
+func (t *Table) CompleteAt(now time.Time) bool {
+	return t.completeSince.IsZero() || now.Sub(t.completeSince) >= t.window
 }
 
 // CompleteSince returns the time since which every claim has been read; zero means since the first record.
-func (b *Table) CompleteSince() time.Time { return b.completeSince }
+func (t *Table) CompleteSince() time.Time { return t.completeSince }
 
 // Apply applies the next record of the stream; a record that was already applied is ignored.
-func (b *Table) Apply(offset int64, at time.Time, data []byte) {
-	if offset < b.next {
+func (t *Table) Apply(offset int64, at time.Time, data []byte) {
+	if offset < t.next {
 		return
 	}
-	b.next = offset + 1
-	b.expire(at)
+	t.next = offset + 1
+	t.expire(at)
 	var records []Record
 	if json.Unmarshal(data, &records) != nil {
 		return
 	}
 	for _, r := range records {
-		b.apply(offset, at, r)
+		t.apply(offset, at, r)
 	}
 }
 
-func (b *Table) expire(now time.Time) {
-	for len(b.insertions) > 0 && now.Sub(b.insertions[0].at) > b.window {
-		oldest := b.insertions[0]
-		b.insertions = b.insertions[1:]
-		if c := b.claims[oldest.claimID]; c != nil && c.at.Equal(oldest.at) {
-			delete(b.claims, oldest.claimID)
+func (t *Table) expire(now time.Time) {
+	for len(t.insertions) > 0 && now.Sub(t.insertions[0].at) > t.window {
+		oldest := t.insertions[0]
+		t.insertions = t.insertions[1:]
+		if c := t.claims[oldest.claimID]; c != nil && c.at.Equal(oldest.at) {
+			delete(t.claims, oldest.claimID)
 		}
 	}
 }
 
-func (b *Table) apply(offset int64, at time.Time, r Record) {
+func (t *Table) apply(offset int64, at time.Time, r Record) {
 	key := claimID{account: r.Account, key: r.Key}
-	c := b.claims[key]
+	c := t.claims[key]
 	switch r.Kind {
 	case KindClaim:
 		// An attempt that has released its key must not claim it again. Such a claim is a duplicate: its append was
@@ -121,8 +121,8 @@
 		if c != nil && (!c.claimable() || c.attempt == r.Attempt) {
 			return
 		}
-		b.claims[key] = &claim{attempt: r.Attempt, digest: r.Digest, offset: offset, at: at}
-		b.insertions = append(b.insertions, insertion{claimID: key, at: at})
+		t.claims[key] = &claim{attempt: r.Attempt, digest: r.Digest, offset: offset, at: at}
+		t.insertions = append(t.insertions, insertion{claimID: key, at: at})
 	case KindOutcome:
 		if c == nil || c.attempt != r.Attempt || c.settled {
 			return
@@ -154,10 +154,10 @@
 	Mismatch Ownership = "mismatch"
 )
 
-// OwnershipOf returns the status of an attempt's claim to the key, for a request with the given digest, and the recorded
-// outcome if there is one.
-func (b *Table) OwnershipOf(account, key, attempt, digest string) (s Ownership, result Record) {
-	c := b.claims[claimID{account: account, key: key}]
+// OwnershipOf returns the status of an attempt's claim to the key, for a request with the given digest, and the
+// recorded outcome if there is one.
+func (t *Table) OwnershipOf(account, key, attempt, digest string) (s Ownership, result Record) {
+	c := t.claims[claimID{account: account, key: key}]
 	switch {
 	case c == nil || c.claimable() && c.attempt != attempt:
 		return Unclaimed, Record{}
@@ -171,8 +171,8 @@
 	return Pending, Record{}
 }
 
-// Len returns the number of keys in the book.
-func (b *Table) Len() int { return len(b.claims) }
+// Len returns the number of keys in the table.
+func (t *Table) Len() int { return len(t.claims) }
 
 // Window returns how long a key is kept.
-func (b *Table) Window() time.Duration { return b.window }
+func (t *Table) Window() time.Duration { return t.window }
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -151,7 +151,7 @@
 	assert.Equal(t, result.Status, 201)
 }
 
-// A key expires after the window. A book that starts late doesn't cover all keys until a full window has passed.
+// A key expires after the window. A table that starts late doesn't cover all keys until a full window has passed.
 func TestClaimsExpireAfterWindow(t *testing.T) {
 	b := claim.NewBook(window)
 	at := time.Unix(1_000_000, 0)
--- a/core/coldlimit/fleet_test.go
+++ b/core/coldlimit/fleet_test.go
@@ -118,7 +118,7 @@
 	return recentlySent(sent, now) < coldBound.Limit(perSecond)/responsible
 }
 
-// round is the interval at which routers hear from their hub.
+// round is the interval at which routers get a response from their hub.
 const round = 300 * time.Millisecond
 
 // hubGrants has a hub hand out grants for each round, by what routers wanted in the last round but one: its reports
--- a/core/compactedlog/record.go
+++ b/core/compactedlog/record.go
@@ -16,7 +16,7 @@
 	Next    int64
 }
 
-// TrimmedError reports that the records from offset Want on are no longer kept. The newest value of each key can
+// TrimmedError reports that the records from offset Requested on are no longer kept. The newest value of each key can
 // still be read.
 type TrimmedError struct{ Requested, First int64 }
 
--- a/core/decision/log.go
+++ b/core/decision/log.go
@@ -14,7 +14,7 @@
 	order     []string
 }
 
-// DefaultSize is the number of decisions that a Ring keeps.
+// DefaultSize is the number of decisions that a Log keeps.
 const DefaultSize = 4096
 
 // Decision records where a request was sent and why, and the result that its caller received.
@@ -49,24 +49,24 @@
 }
 
 // Add records a decision and discards the oldest one if there are too many.
-func (r *Log) Add(d *Decision) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.byRequest == nil {
-		r.byRequest = map[string]*Decision{}
+func (l *Log) Add(d *Decision) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.byRequest == nil {
+		l.byRequest = map[string]*Decision{}
 	}
-	r.byRequest[d.Request] = d
-	r.order = append(r.order, d.Request)
-	if len(r.order) > DefaultSize {
-		delete(r.byRequest, r.order[0])
-		r.order = r.order[1:]
+	l.byRequest[d.Request] = d
+	l.order = append(l.order, d.Request)
+	if len(l.order) > DefaultSize {
+		delete(l.byRequest, l.order[0])
+		l.order = l.order[1:]
 	}
 }
 
 // Find returns the decision on the request with the given id.
-func (r *Log) Find(request string) (d *Decision, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	d, ok = r.byRequest[request]
+func (l *Log) Find(request string) (d *Decision, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	d, ok = l.byRequest[request]
 	return d, ok
 }
--- a/core/dispatch/attempt.go
+++ b/core/dispatch/attempt.go
@@ -74,8 +74,8 @@
 // Endpoint returns the endpoint's directory entry as it was when the attempt began.
 func (a *Attempt) Endpoint() directory.Entry { return a.entry }
 
-// FetchSource returns the address of an endpoint that caches parts of the prompt which this one lacks, or "" if there is
-// none.
+// FetchSource returns the address of an endpoint that caches parts of the prompt which this one lacks, or "" if there
+// is none.
 func (a *Attempt) FetchSource() string { return a.fetchSource }
 
 // MissingTokens returns how many tokens of the prompt the endpoint is estimated not to have cached.
@@ -127,7 +127,8 @@
 	return now.Sub(since)
 }
 
-// UnreadPromptTokens returns how many prompt tokens the endpoint still has to read, for all requests that the routers know of.
+// UnreadPromptTokens returns how many prompt tokens the endpoint still has to read, for all requests that the routers
+// know of.
 func (a *Attempt) UnreadPromptTokens(now time.Time) int {
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
--- a/core/dispatch/caches_test.go
+++ b/core/dispatch/caches_test.go
@@ -11,7 +11,7 @@
 	"savoryfall/core/prompt"
 )
 
-// cacheFleet is a routerFleet whose engines cache all they read, and fetch what they are told to from the donor.
+// cacheFleet is a routerFleet whose engines cache all they read, and fetch what a request names from its fetch source.
 type cacheFleet struct {
 	*routerFleet
 	cached    map[string]map[uint64]int
@@ -58,7 +58,7 @@
 	}
 }
 
-// read has the engine fetch what it is told to, and read what it still lacks.
+// read has the engine fetch what the request names, and read what it still lacks.
 func (l *cacheFleet) read(a *dispatch.Attempt, chain prompt.Chain) {
 	own, donor := l.cached[a.Endpoint().ID], l.cached[l.addresses[a.FetchSource()]]
 	for i, p := range chain {
--- a/core/dispatch/demand.go
+++ b/core/dispatch/demand.go
@@ -196,7 +196,7 @@
 	return arrivals * math.Ln2 / demandHalfLife.Seconds(), running
 }
 
-// othersShare returns the share of the requests that other routers get, of which this one hears late.
+// othersShare returns the share of the requests that other routers get, which this one learns of late.
 func (m *demand) othersShare(now time.Time) float64 {
 	if now.Sub(m.othersAt) > othersMaxAge {
 		return 0
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -172,7 +172,8 @@
 	return d.demand(service).fullFor(rank, now)
 }
 
-// HasCapacityElsewhere reports whether an endpoint of the service other than the one with the id could take a request now.
+// HasCapacityElsewhere reports whether an endpoint of the service other than the one with the id could take a request
+// now.
 func (d *Dispatcher) HasCapacityElsewhere(service, id string, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,7 +183,7 @@
 	})
 }
 
-// MarkReplaced drops an endpoint that another process has replaced at its address, until the directory lists it anew.
+// MarkReplaced drops an endpoint that another process has replaced at its address, until the directory lists it again.
 func (d *Dispatcher) MarkReplaced(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/core/dispatch/drain.go
+++ b/core/dispatch/drain.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// SetDrained sets the failure domains whose endpoints get no new work. When the drain of a domain ends, its endpoints may
-// just have started: they count as cold for the usual time after a start.
+// SetDrained sets the failure domains whose endpoints get no new work. When the drain of a domain ends, its endpoints
+// may just have started: they count as cold for the usual time after a start.
 func (d *Dispatcher) SetDrained(domains []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,8 +49,8 @@
 	return slices.DeleteFunc(slices.Clone(pool), d.isDrained)
 }
 
-// SetDrainFetchTerm sets for how long cached parts are still fetched from the engines of a drained failure domain. Most of
-// them are cached nowhere else, and would be read again; an operator who drains a domain expects its traffic to end
+// SetDrainFetchTerm sets for how long cached parts are still fetched from the engines of a drained failure domain. Most
+// of them are cached nowhere else, and would be read again; an operator who drains a domain expects its traffic to end
 // soon.
 func (d *Dispatcher) SetDrainFetchTerm(term time.Duration) {
 	d.mu.Lock()
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -83,7 +83,7 @@
 	return e.sentWeight * math.Exp2(-float64(now.Sub(e.sentAt))/float64(sentHalfLife))
 }
 
-// untrackedHalfLife is the time in which half of the requests that nobody waits for are assumed to end: streams of
+// untrackedHalfLife is the time in which half of the requests that no client waits for are assumed to end: streams of
 // some seconds that were abandoned midway.
 const untrackedHalfLife = time.Second
 
--- a/core/dispatch/exchange_test.go
+++ b/core/dispatch/exchange_test.go
@@ -14,13 +14,13 @@
 // routerFleet is a fleet of routers that share engines and learn of each other's loads through a hub, some hundred
 // milliseconds late.
 type routerFleet struct {
-	t       *testing.T
-	routers []*dispatch.Dispatcher
-	board   fleetload.Aggregator
-	now     time.Time
-	running map[string]int
-	total   int
-	open    []open
+	t          *testing.T
+	routers    []*dispatch.Dispatcher
+	aggregator fleetload.Aggregator
+	now        time.Time
+	running    map[string]int
+	total      int
+	open       []open
 	// losesAnswer reports whether an engine loses the answer to request n.
 	losesAnswer func(id string, n int) bool
 }
@@ -92,7 +92,7 @@
 	c.open = kept
 }
 
-// exchangeReports lets the routers report to the hub and hear from it in turn, so that each does so every
+// exchangeReports lets the routers report to the hub and receive its response in turn, so that each does so every
 // reportInterval.
 func (c *routerFleet) exchangeReports() {
 	for i, d := range c.routers {
@@ -101,10 +101,10 @@
 			continue
 		}
 		own := d.OwnWorkload(c.now)
-		c.board.AddReport(fmt.Sprint(i), own, d.TakeReads(), c.now)
-		total, _ := c.board.Totals(c.now)
+		c.aggregator.AddReport(fmt.Sprint(i), own, d.TakeReads(), c.now)
+		total, _ := c.aggregator.Totals(c.now)
 		d.SetFleetWorkload(total, own, c.now)
-		reads, _ := c.board.ReadsSince(0)
+		reads, _ := c.aggregator.ReadsSince(0)
 		d.RecordReads(reads)
 	}
 }
--- a/core/dispatch/fetch_test.go
+++ b/core/dispatch/fetch_test.go
@@ -52,7 +52,7 @@
 }
 
 // An engine is dropped from the directory by mistake and comes back. What it has cached must still be known, and it
-// must not be its own donor.
+// must not be its own fetch source.
 func TestRelistedEngineKeepsItsCacheRecord(t *testing.T) {
 	d, entries := newDispatcher(4)
 	a := choose(t, d, dispatch.Query{Service: models, Prompt: document(1, 1)}, start)
--- a/core/dispatch/metrics.go
+++ b/core/dispatch/metrics.go
@@ -5,10 +5,11 @@
 // Metrics are the quantities that users judge the router by: how much of the prompts was cached where they were sent,
 // and how even the load is.
 type Metrics struct {
-	// PromptTokens counts the tokens of all prompts sent, Warm those of them that the engine was estimated to have cached.
+	// PromptTokens counts the tokens of all prompts sent, CachedTokens those of them that the engine was estimated to
+	// have cached.
 	PromptTokens, CachedTokens uint64
-	// MaxOverMean is the load of the busiest endpoint over the mean of its service: the maximum over all services with a
-	// load of at least one request an endpoint, 0 if there is none.
+	// MaxOverMean is the load of the busiest endpoint over the mean of its service: the maximum over all services with
+	// a load of at least one request an endpoint, 0 if there is none.
 	MaxOverMean float64
 	// Endpoints is how many endpoints may get work, Failing how many of them fail at least every fourth attempt.
 	Endpoints, Failing int
@@ -23,7 +24,7 @@
 // failingThreshold is the failure rate from which an endpoint counts as failing.
 const failingThreshold = 0.25
 
-// CurrentMetrics returns the current measures.
+// CurrentMetrics returns the current metrics.
 func (d *Dispatcher) CurrentMetrics(now time.Time) (m Metrics) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -9,7 +9,7 @@
 	// planningHorizon is how far ahead a router plans the capacity of a service: as long as it does not know what the
 	// others have sent. Where requests hold capacity for less than that, their hold time is used instead.
 	planningHorizon = 600 * time.Millisecond
-	// unreservedShare is the share of the capacity up to which nobody is refused.
+	// unreservedShare is the share of the capacity up to which no request is refused.
 	unreservedShare = 0.5
 )
 
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// Refused clients are told to retry after the overload. The router must know when it began, and that it is over once
+// Refused clients get a delay after which to retry. The router must know when it began, and that it is over once
 // hardly any request is refused.
 func TestFullForFollowsAnOverload(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -156,7 +156,7 @@
 		c.run(400, 4*time.Second)
 		full := c.d.FullFor(models, 1, c.now)
 		assert.Assert(t, full > 3*time.Second && full < 4*time.Second, "%v", full)
-		assert.Equal(t, c.d.FullFor(models, 1, c.now.Add(5*time.Second)), time.Duration(0), "nobody asks any more")
+		assert.Equal(t, c.d.FullFor(models, 1, c.now.Add(5*time.Second)), time.Duration(0), "no further requests")
 		c.run(40, 5*time.Second)
 		assert.Equal(t, c.d.FullFor(models, 1, c.now), time.Duration(0))
 	})
--- a/core/dispatch/surge_test.go
+++ b/core/dispatch/surge_test.go
@@ -236,10 +236,10 @@
 }
 
 // A plain service answers calls in 15 ms. Calls come six times as often as usual, slightly more than four servers can
-// do, one account far more than the others. Eighty routers hear of each other's calls long after these have ended. All of
-// them sent to the server that had been least loaded, then found all full, refused half of the calls, the most urgent
-// among them, and began anew: a third of the calls met a server with more than twice the mean. Calls must be spread
-// evenly, and those that the servers cannot do refused by rank.
+// do, one account far more than the others. Eighty routers learn of each other's calls long after these have ended. All
+// of them sent to the server that had been least loaded, then found all full, refused half of the calls, the most
+// urgent among them, and started again: a third of the calls met a server with more than twice the mean. Calls must be
+// spread evenly, and those that the servers cannot do refused by rank.
 func TestSurgeOfCallsIsSpread(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -295,7 +295,7 @@
 }
 
 // Nearly half of the requests of such a surge are from one account, whose prompts begin with eight documents. Each
-// router sends them where the document is cached, and hears only some hundred milliseconds later that all others did
+// router sends them where the document is cached, and learns only some hundred milliseconds later that all others did
 // so too: in the first second the engines that cache one of them were sent more than twice the mean.
 func TestSurgeOfAFewDocumentsIsSpread(t *testing.T) {
 	t.Parallel()
@@ -351,7 +351,7 @@
 	return w
 }
 
-// Other routers reported untracked calls, which an endpoint works on though nobody waits for them. They must count
+// Other routers reported untracked calls, which an endpoint works on though no client waits for them. They must count
 // until they have ended, some ten milliseconds, and not until the next report, when the endpoint has long been free.
 func TestHiddenCallsOfOthersEnd(t *testing.T) {
 	d, _ := newDispatcher(1)
--- a/core/endpoint/endpoint.go
+++ b/core/endpoint/endpoint.go
@@ -78,6 +78,6 @@
 // ChecksFence returns whether the endpoint rejects an order with an outdated fencing token.
 func (e Endpoint) ChecksFence() bool { return e.checksFence }
 
-// EchoesAttemptID returns whether the endpoint repeats the attempt ID in its responses, so that a response to another attempt
-// is detected.
+// EchoesAttemptID returns whether the endpoint repeats the attempt ID in its responses, so that a response to another
+// attempt is detected.
 func (e Endpoint) EchoesAttemptID() bool { return e.echoesAttemptID }
--- a/core/fairness/shares.go
+++ b/core/fairness/shares.go
@@ -42,10 +42,11 @@
 	}
 }
 
-// AdmitProbability returns the probability, from 0 to 1, of admitting a request of the account when only a fraction of all
-// requests can be admitted. The shares are max-min fair: an account that sends many times its usual load is cut down to
-// what the others leave, and accounts that demand less than an equal share lose nothing. With the same probability for
-// everyone, the surge of one account turned away just as large a fraction of all other accounts' requests.
+// AdmitProbability returns the probability, from 0 to 1, of admitting a request of the account when only a fraction of
+// all requests can be admitted. The shares are max-min fair: an account that sends many times its usual load is cut
+// down to what the others leave, and accounts that demand less than an equal share lose nothing. With the same
+// probability for everyone, the surge of one account turned away just as large a fraction of all other accounts'
+// requests.
 func (s *Shares) AdmitProbability(account string, fraction float64, now time.Time) float64 {
 	s.decay(now)
 	demand := s.demandByAccount[account]
--- a/core/field/field.go
+++ b/core/field/field.go
@@ -59,7 +59,7 @@
 
 // Fields of a client connection that has ended.
 const (
-	// Ended is who ended the connection, a clientconn.Ending.
+	// Ended is who ended the connection, a clientconn.CloseReason.
 	Ended Name = "ended"
 	// Served is the number of responses that it had carried before.
 	Served Name = "served"
--- a/core/fleetload/aggregator.go
+++ b/core/fleetload/aggregator.go
@@ -13,11 +13,11 @@
 type Load struct {
 	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint32
-	// Running counts the requests in progress, Unread the prompt tokens of those whose response has not started
-	// yet.
+	// Running counts the requests in progress, PendingPromptTokens the prompt tokens of those whose response has not
+	// started yet.
 	Running             int
 	PendingPromptTokens int
-	// Failures counts failures and All counts attempts; both decay over time.
+	// Failures and Attempts decay over time.
 	Failures float32
 	Attempts float32
 	// Unaccounted counts the requests that the endpoint reports beyond those that the routers account for: some
@@ -66,7 +66,7 @@
 	work       Workload
 }
 
-// partKey identifies a Read by its endpoint and the last of its shared prompt parts.
+// partKey identifies a PrefixRead by its endpoint and the last of its shared prompt parts.
 type partKey struct {
 	endpoint uint32
 	part     uint64
@@ -81,63 +81,63 @@
 	maxReads = 8192
 )
 
-// Update replaces the router's previous report, adds its new reads, and returns those of the reads that were not
+// AddReport replaces the router's previous report, adds its new reads, and returns those of the reads that were not
 // known before.
-func (b *Aggregator) AddReport(router string, work Workload, reads []PrefixRead, now time.Time) (fresh []PrefixRead) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.routers == nil {
-		b.routers = map[string]*routerReport{}
+func (a *Aggregator) AddReport(router string, work Workload, reads []PrefixRead, now time.Time) (fresh []PrefixRead) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.routers == nil {
+		a.routers = map[string]*routerReport{}
 	}
-	b.routers[router] = &routerReport{receivedAt: now, work: work}
-	return b.addReads(reads)
+	a.routers[router] = &routerReport{receivedAt: now, work: work}
+	return a.addReads(reads)
 }
 
 // AddReads adds reads from routers that report to other hubs.
-func (b *Aggregator) AddReads(reads []PrefixRead) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.addReads(reads)
+func (a *Aggregator) AddReads(reads []PrefixRead) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.addReads(reads)
 }
 
 // SetFleetTotal sets the total load of all routers, as sent by this hub's own hub. The part of the total that this hub
 // reported itself is subtracted so that it isn't counted twice.
-func (b *Aggregator) SetFleetTotal(total, reported Workload, now time.Time) {
+func (a *Aggregator) SetFleetTotal(total, reported Workload, now time.Time) {
 	others := total.minus(reported)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.remote, b.remoteAt = others, now
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.remote, a.remoteAt = others, now
 }
 
-func (b *Aggregator) addReads(reads []PrefixRead) (fresh []PrefixRead) {
+func (a *Aggregator) addReads(reads []PrefixRead) (fresh []PrefixRead) {
 	for _, r := range reads {
-		if b.addRead(r) {
+		if a.addRead(r) {
 			fresh = append(fresh, r)
 		}
 	}
 	return fresh
 }
 
-func (b *Aggregator) addRead(r PrefixRead) (fresh bool) {
+func (a *Aggregator) addRead(r PrefixRead) (fresh bool) {
 	if len(r.Parts) == 0 {
 		return false
 	}
 	key := keyOf(r)
-	if b.seenReads[key] {
+	if a.seenReads[key] {
 		return false
 	}
-	if b.seenReads == nil {
-		b.seenReads = map[partKey]bool{}
+	if a.seenReads == nil {
+		a.seenReads = map[partKey]bool{}
 	}
-	b.seenReads[key] = true
-	b.reads = append(b.reads, r)
-	if len(b.reads) > maxReads {
-		dropped := len(b.reads) / 2
-		for _, old := range b.reads[:dropped] {
-			delete(b.seenReads, keyOf(old))
+	a.seenReads[key] = true
+	a.reads = append(a.reads, r)
+	if len(a.reads) > maxReads {
+		dropped := len(a.reads) / 2
+		for _, old := range a.reads[:dropped] {
+			delete(a.seenReads, keyOf(old))
 		}
-		b.reads = append([]PrefixRead(nil), b.reads[dropped:]...)
-		b.firstRead += int64(dropped)
+		a.reads = append([]PrefixRead(nil), a.reads[dropped:]...)
+		a.firstRead += int64(dropped)
 	}
 	return true
 }
@@ -147,55 +147,55 @@
 }
 
 // ReadsSince returns the reads from the given sequence number on, and the number to continue from.
-func (b *Aggregator) ReadsSince(number int64) (reads []PrefixRead, next int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next = b.firstRead + int64(len(b.reads))
-	if number < b.firstRead {
-		number = b.firstRead
+func (a *Aggregator) ReadsSince(number int64) (reads []PrefixRead, next int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	next = a.firstRead + int64(len(a.reads))
+	if number < a.firstRead {
+		number = a.firstRead
 	}
 	if number >= next {
 		return nil, next
 	}
-	return append([]PrefixRead(nil), b.reads[number-b.firstRead:]...), next
+	return append([]PrefixRead(nil), a.reads[number-a.firstRead:]...), next
 }
 
 // Totals returns the sum of all current reports, per endpoint and per priority rank of a service, and the number
 // of routers that report to this hub.
-func (b *Aggregator) Totals(now time.Time) (work Workload, routers int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	sum, routers := b.sum(now)
-	if now.Sub(b.remoteAt) <= ReportTTL {
-		sum.add(b.remote)
+func (a *Aggregator) Totals(now time.Time) (work Workload, routers int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	sum, routers := a.sum(now)
+	if now.Sub(a.remoteAt) <= ReportTTL {
+		sum.add(a.remote)
 	}
 	return sum.work, routers
 }
 
 // LocalTotals returns the sum of the current reports of the routers that report to this hub, including this router,
 // and their number.
-func (b *Aggregator) LocalTotals(now time.Time) (work Workload, routers int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	sum, routers := b.sum(now)
+func (a *Aggregator) LocalTotals(now time.Time) (work Workload, routers int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	sum, routers := a.sum(now)
 	return sum.work, routers
 }
 
 // HasReport returns whether the hub has a current report of the router.
-func (b *Aggregator) HasReport(router string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.routers[router]
+func (a *Aggregator) HasReport(router string, now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	r := a.routers[router]
 	return r != nil && now.Sub(r.receivedAt) <= ReportTTL
 }
 
-func (b *Aggregator) sum(now time.Time) (sum accumulator, routers int) {
+func (a *Aggregator) sum(now time.Time) (sum accumulator, routers int) {
 	// Floating-point sums depend on the order of addition, so the reports are added in a fixed order: otherwise the
 	// same reports would not always give the same totals.
-	for _, name := range slices.Sorted(maps.Keys(b.routers)) {
-		r := b.routers[name]
+	for _, name := range slices.Sorted(maps.Keys(a.routers)) {
+		r := a.routers[name]
 		if now.Sub(r.receivedAt) > ReportTTL {
-			delete(b.routers, name)
+			delete(a.routers, name)
 			continue
 		}
 		routers++
@@ -251,7 +251,7 @@
 }
 
 // minus subtracts a part of the load. The part may be newer than the whole, so no difference goes below zero.
-// Hidden is not subtracted: it is reported by the endpoint itself and is the same for all routers.
+// Unaccounted is not subtracted: it is reported by the endpoint itself and is the same for all routers.
 func (w Workload) minus(part Workload) (difference Workload) {
 	partLoads := map[uint32]Load{}
 	for _, l := range part.Loads {
--- a/core/fleetload/aggregator_test.go
+++ b/core/fleetload/aggregator_test.go
@@ -12,9 +12,9 @@
 
 var start = time.Unix(1000, 0)
 
-// boardWithReports returns a board that has reports of the given number of routers, with decayed counts for each
-// endpoint.
-func boardWithReports(routers, endpoints int) *fleetload.Aggregator {
+// aggregatorWithReports returns an aggregator that has reports of the given number of routers, with decayed counts for
+// each endpoint.
+func aggregatorWithReports(routers, endpoints int) *fleetload.Aggregator {
 	b := &fleetload.Aggregator{}
 	for i := range routers {
 		var w fleetload.Workload
@@ -31,7 +31,7 @@
 // The sums of failures and demands used to differ in the last digit between routers that had received the same
 // reports, because map iteration changed the order of addition. No run of a fleet could then be reproduced.
 func TestSameReportsGiveTheSameTotals(t *testing.T) {
-	b := boardWithReports(30, 5)
+	b := aggregatorWithReports(30, 5)
 	want, routers := b.Totals(start)
 	assert.Equal(t, routers, 30)
 	for range 100 {
@@ -41,7 +41,7 @@
 }
 
 func BenchmarkTotals(b *testing.B) {
-	full := boardWithReports(100, 90)
+	full := aggregatorWithReports(100, 90)
 	b.ReportAllocs()
 	for b.Loop() {
 		full.Totals(start)
--- a/core/fleetload/totals.go
+++ b/core/fleetload/totals.go
@@ -22,11 +22,11 @@
 	version int64
 }
 
-// totalsMaxAge is how old the totals that are sent may be. Summing up all reports for each router that asks would
+// totalsMaxAge is how old the totals that are sent may be. Summing up all reports for each report of a router would
 // cost the square of the number of routers.
 const totalsMaxAge = 40 * time.Millisecond
 
-// NeedsUpdate returns whether the totals must be updated with Take.
+// NeedsUpdate returns whether the totals must be updated with Update.
 func (l *VersionedTotals) NeedsUpdate(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/hashmix/doc.go
+++ b/core/hashmix/doc.go
@@ -1,2 +1,2 @@
-// Package scatter spreads hashes evenly.
+// Package hashmix mixes the bits of hashes so that they are spread evenly.
 package hashmix
--- a/core/health/table.go
+++ b/core/health/table.go
@@ -221,7 +221,8 @@
 	return time.Time{}
 }
 
-// KnownLeaving reports whether the current incarnation is known to be leaving, so that the mark may be passed on to peers.
+// KnownLeaving reports whether the current incarnation is known to be leaving, so that the mark may be passed on to
+// peers.
 func (t *Table) KnownLeaving(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/health/table_test.go
+++ b/core/health/table_test.go
@@ -105,7 +105,7 @@
 	assert.Equal(t, h.State("e", start), health.Up)
 }
 
-// A configuration change adds an endpoint just after a router has started, before it has heard from any endpoint. Only
+// A configuration change adds an endpoint just after a router has started, before any endpoint has answered. Only
 // the added endpoint counts as recently started; the others may have been up for long and have prefixes cached.
 func TestOnlyAddedEndpointsHaveRecentlyStarted(t *testing.T) {
 	h := &health.Table{}
--- a/core/lease/tracker.go
+++ b/core/lease/tracker.go
@@ -29,88 +29,88 @@
 }
 
 // Observe updates the lease with its state as read from the stream.
-func (c *Tracker) Observe(l Lease, known bool, now time.Time) {
+func (t *Tracker) Observe(l Lease, known bool, now time.Time) {
 	if !known {
 		l = Lease{LastOffset: NoRecord}
 	}
-	if c.observed && l == c.lease {
+	if t.observed && l == t.lease {
 		return
 	}
-	c.lease, c.observedAt, c.observed = l, now, true
-	if l.Holder == c.self {
-		c.startTerm(l.Seq)
+	t.lease, t.observedAt, t.observed = l, now, true
+	if l.Holder == t.self {
+		t.startTerm(l.Seq)
 	}
 }
 
 // startTerm starts the term at the time when the append of the record with this sequence number began. A renewal may be
 // read late, when a newer one is already in flight. Using the newer one's time would extend the term beyond the time
 // that a challenger waits.
-func (c *Tracker) startTerm(seq int64) {
-	c.termStart = c.pendingAppends[seq]
-	for older, at := range c.pendingAppends {
-		if at.Before(c.termStart) {
-			delete(c.pendingAppends, older)
+func (t *Tracker) startTerm(seq int64) {
+	t.termStart = t.pendingAppends[seq]
+	for older, at := range t.pendingAppends {
+		if at.Before(t.termStart) {
+			delete(t.pendingAppends, older)
 		}
 	}
 }
 
 // NextRecord returns the record to append now, if any: a renewal after a third of the term, or an acquisition when the
 // holder has been silent for its whole term plus the longest action.
-func (c *Tracker) NextRecord(now time.Time) (r Record, ok bool) {
-	if !c.observed || !c.lastAppend.IsZero() && now.Sub(c.lastAppend) < c.terms.Term/3 {
+func (t *Tracker) NextRecord(now time.Time) (r Record, ok bool) {
+	if !t.observed || !t.lastAppend.IsZero() && now.Sub(t.lastAppend) < t.terms.Term/3 {
 		return Record{}, false
 	}
 	switch {
-	case c.lease.Holder == c.self && c.termStart.IsZero():
+	case t.lease.Holder == t.self && t.termStart.IsZero():
 		// A previous process with this router's name held the lease; its last action may still be in progress.
-		return c.acquireAfter(now, c.takeoverDelay())
-	case c.lease.Holder == c.self:
-		if now.Sub(c.termStart) < c.terms.Term/3 {
+		return t.acquireAfter(now, t.takeoverDelay())
+	case t.lease.Holder == t.self:
+		if now.Sub(t.termStart) < t.terms.Term/3 {
 			return Record{}, false
 		}
-		return Record{Kind: KindRenew, Duty: c.duty, Holder: c.self, Fence: c.lease.Fence}, true
-	case c.lease.Holder == "":
-		return c.acquireAfter(now, 0)
+		return Record{Kind: KindRenew, Duty: t.duty, Holder: t.self, Fence: t.lease.Fence}, true
+	case t.lease.Holder == "":
+		return t.acquireAfter(now, 0)
 	}
-	return c.acquireAfter(now, c.takeoverDelay())
+	return t.acquireAfter(now, t.takeoverDelay())
 }
 
 // takeoverDelay is long enough for the old holder to have finished. Its renewal began before this router could read it,
-// so its term ends within one term of the read, and an action started at the very end takes at most Longest more.
-func (c *Tracker) takeoverDelay() time.Duration {
-	return c.terms.Term + c.terms.MaxAction
+// so its term ends within one term of the read, and an action started at the very end takes at most MaxAction more.
+func (t *Tracker) takeoverDelay() time.Duration {
+	return t.terms.Term + t.terms.MaxAction
 }
 
-func (c *Tracker) acquireAfter(now time.Time, delay time.Duration) (r Record, ok bool) {
-	if now.Sub(c.observedAt) < delay {
+func (t *Tracker) acquireAfter(now time.Time, delay time.Duration) (r Record, ok bool) {
+	if now.Sub(t.observedAt) < delay {
 		return Record{}, false
 	}
-	return Record{Kind: KindAcquire, Duty: c.duty, Holder: c.self, After: c.lease.LastOffset}, true
+	return Record{Kind: KindAcquire, Duty: t.duty, Holder: t.self, After: t.lease.LastOffset}, true
 }
 
 // BeginAppend records that the wanted record is about to be appended, and returns it with a sequence number.
-func (c *Tracker) BeginAppend(r Record, now time.Time) Record {
+func (t *Tracker) BeginAppend(r Record, now time.Time) Record {
 	r.Seq = now.UnixNano()
-	c.lastAppend = now
-	c.pendingAppends[r.Seq] = now
+	t.lastAppend = now
+	t.pendingAppends[r.Seq] = now
 	return r
 }
 
 // Relinquish makes this router stop acting at once.
-func (c *Tracker) Relinquish() { c.termStart = time.Time{} }
+func (t *Tracker) Relinquish() { t.termStart = time.Time{} }
 
-// MayAct reports whether an action that begins now and takes at most Longest is covered by the lease, and returns its
+// MayAct reports whether an action that begins now and takes at most MaxAction is covered by the lease, and returns its
 // fencing number. It must be called right before the action: if a holder were paused between check and action, it would
 // act after its lease has expired, with a fencing number that an endpoint without fencing checks accepts.
-func (c *Tracker) MayAct(now time.Time) (fence int64, ok bool) {
-	if c.lease.Holder != c.self || c.termStart.IsZero() || now.Sub(c.termStart) >= c.terms.Term {
+func (t *Tracker) MayAct(now time.Time) (fence int64, ok bool) {
+	if t.lease.Holder != t.self || t.termStart.IsZero() || now.Sub(t.termStart) >= t.terms.Term {
 		return 0, false
 	}
-	return c.lease.Fence, true
+	return t.lease.Fence, true
 }
 
 // Holds reports whether the stream names this router as the holder.
-func (c *Tracker) Holds() bool { return c.observed && c.lease.Holder == c.self }
+func (t *Tracker) Holds() bool { return t.observed && t.lease.Holder == t.self }
 
 // Current returns the latest state of the lease that was read.
-func (c *Tracker) Current() Lease { return c.lease }
+func (t *Tracker) Current() Lease { return t.lease }
--- a/core/ledger/digest.go
+++ b/core/ledger/digest.go
@@ -52,8 +52,8 @@
 // tokenUnit is chosen so that most token counts fit in one or two bytes.
 const tokenUnit = 16
 
-// SetPeerLoad stores the digest of a peer. It drops a digest with a different fingerprint, because its indexes would refer to
-// other endpoints.
+// SetPeerLoad stores the digest of a peer. It drops a digest with a different fingerprint, because its indexes would
+// refer to other endpoints.
 func (l *Ledger) SetPeerLoad(name string, fingerprint uint32, data []byte, at time.Time) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -352,11 +352,11 @@
 }
 
 // SetRecentlyStarted sets whether an endpoint has recently started.
-func (l *Ledger) SetRecentlyStarted(name string, young bool) {
+func (l *Ledger) SetRecentlyStarted(name string, recentlyStarted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if i, ok := l.indexByName[name]; ok {
-		l.candidates[i].SetRecentlyStarted(young)
+		l.candidates[i].SetRecentlyStarted(recentlyStarted)
 	}
 }
 
--- a/core/lifecycle/doc.go
+++ b/core/lifecycle/doc.go
@@ -1,2 +1,2 @@
-// Package kernel starts and stops the services of one process, and looks them up by name.
+// Package lifecycle starts and stops the services of one process, and looks them up by name.
 package lifecycle
--- a/core/loadplan/plan.go
+++ b/core/loadplan/plan.go
@@ -47,7 +47,7 @@
 	Zipf  float64
 }
 
-// Chats configures the traffic. The routers are not told any of it.
+// Chats configures the traffic. The routers do not know any of it.
 type Chats struct {
 	RequestsPerSecond float64
 	CallsPerSecond    float64
--- a/core/loganalysis/log.go
+++ b/core/loganalysis/log.go
@@ -23,8 +23,8 @@
 	Fields map[field.Name]string
 	// Text is the line as logged, starting at its first field.
 	Text string
-	// Explanation explains the line in sentences. It is set only by Story, for lines that describe the end of a client's
-	// connection, and for the start of a process after another that did not shut down cleanly.
+	// Explanation explains the line in sentences. It is set only by Explain, for lines that describe the end of a
+	// client's connection, and for the start of a process after another that did not shut down cleanly.
 	Explanation []string
 }
 
--- a/core/loganalysis/log_test.go
+++ b/core/loganalysis/log_test.go
@@ -28,7 +28,7 @@
 	return l
 }
 
-// Story returns the line of the request and the earlier lines about the view of its router, but not those of another
+// Explain returns the line of the request and the earlier lines about the view of its router, but not those of another
 // router.
 func TestStory(t *testing.T) {
 	l := readLog(t, sampleLog)
@@ -42,11 +42,11 @@
 	assert.Equal(t, len(l.Explain("r9")), 0)
 }
 
-// A router's VM is lost and restarts, and its first request arrives before it has read any configuration. Story used to
-// show a configuration and an endpoint that only the previous process had known, as if they had applied to the request.
-// It must show only what the new process knew, including lines written just before the line that it started. It must
-// also tell that the previous process ended without logging a stop, but not after an ordinary stop.
-func TestStoryIsOfOneProcess(t *testing.T) {
+// A router's VM is lost and restarts, and its first request arrives before it has read any configuration. Explain used
+// to show a configuration and an endpoint that only the previous process had known, as if they had applied to the
+// request. It must show only what the new process knew, including lines written just before the line that it started.
+// It must also say that the previous process ended without logging a stop, but not after an ordinary stop.
+func TestExplanationIsOfOneProcess(t *testing.T) {
 	const before = `ts=2026-05-28T10:00:00Z vm=a event=configurationInForce version=13 from=0
 ts=2026-05-28T10:00:00.1Z vm=a event=started
 ts=2026-05-28T10:00:03Z vm=a event=storeLost topic=configuration
--- a/core/members/hub.go
+++ b/core/members/hub.go
@@ -19,7 +19,7 @@
 	maxPlannedFollowers = 42
 )
 
-// Hub returns the router that self follows; ok is false if self is the root, which follows nobody.
+// Hub returns the router that self follows; ok is false if self is the root, which follows no hub.
 //
 // A small fleet has one hub, the highest ranked router that answers. In a larger fleet that router serves one
 // level of hubs in the failure domains, and each of these serves the routers of its domain that choose it. A
--- a/core/members/hub_test.go
+++ b/core/members/hub_test.go
@@ -40,7 +40,7 @@
 
 func noneSilent(int) bool { return false }
 
-// hubsOf returns the hub that each router follows by name, or "" for a router that follows nobody.
+// hubsOf returns the hub that each router follows by name, or "" for a router that follows no hub.
 func hubsOf(n int, silent func(i int) bool) (hubs map[string]string) {
 	l := listOf(n, silent)
 	hubs = map[string]string{}
--- a/core/membership/table.go
+++ b/core/membership/table.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is the believed state of a member. Within one incarnation, a higher state overrides a lower one.
+// State is the assumed state of a member. Within one incarnation, a higher state overrides a lower one.
 type State uint8
 
 // The states of a member, in increasing precedence.
@@ -50,7 +50,7 @@
 }
 
 const (
-	// unlistedTTL is how long a member is kept that is neither on the VM list nor heard from.
+	// unlistedTTL is how long a member is kept that is neither on the VM list nor in contact.
 	unlistedTTL = 10 * time.Second
 	// retransmitFactor times the logarithm of the number of members is how often an update is passed on.
 	retransmitFactor = 3
@@ -85,8 +85,8 @@
 	t.retransmits[t.self.Name] = t.retransmitLimit()
 }
 
-// UpdateFromVMList records the routers on the VM list. The list is delayed: a member that is missing from it is kept while it is
-// heard from, and a member on it is assumed alive until direct evidence shows otherwise.
+// UpdateFromVMList records the routers on the VM list. The list is delayed: a member that is missing from it is kept
+// while it is in contact, and a member on it is assumed alive until direct evidence shows otherwise.
 func (t *Table) UpdateFromVMList(routers []Update, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 	m.lastHeard = now
 	t.merge(m, r, now)
-	// A member that is heard from is alive, whatever was gossiped about this incarnation. Only its own announcement
+	// A member that has made contact is alive, whatever was gossiped about this incarnation. Only its own announcement
 	// that it is leaving is kept.
 	if m.State == Suspect || m.State == Dead {
 		t.setState(m, Alive, now)
@@ -156,10 +156,10 @@
 
 // Rumours merges the updates of a peer. If one says that this router isn't alive, this router refutes it with a higher
 // incarnation, which overrides the update everywhere.
-func (t *Table) Rumours(rumours []Update, now time.Time) {
+func (t *Table) Rumours(updates []Update, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range rumours {
+	for _, r := range updates {
 		if r.Name == t.self.Name {
 			t.refute(r)
 			continue
@@ -215,7 +215,7 @@
 	return limit
 }
 
-// Sweep declares suspects dead after the suspicion timeout, and removes unlisted members that haven't been heard from.
+// Sweep declares suspects dead after the suspicion timeout, and removes unlisted members that haven't made contact.
 // It returns the names of the members just declared dead.
 func (t *Table) Sweep(now time.Time) (died []string) {
 	t.mu.Lock()
@@ -235,23 +235,23 @@
 }
 
 // Gossip returns the updates to send now, at most max; each is sent a limited number of times.
-func (t *Table) Gossip(max int) (rumours []Update) {
+func (t *Table) Gossip(max int) (updates []Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(t.retransmits)) {
-		if len(rumours) == max {
+		if len(updates) == max {
 			break
 		}
-		rumours = append(rumours, t.rumour(name))
+		updates = append(updates, t.updateOf(name))
 		t.retransmits[name]--
 		if t.retransmits[name] <= 0 {
 			delete(t.retransmits, name)
 		}
 	}
-	return rumours
+	return updates
 }
 
-func (t *Table) rumour(name string) Update {
+func (t *Table) updateOf(name string) Update {
 	if name == t.self.Name {
 		return t.self
 	}
@@ -290,7 +290,7 @@
 }
 
 // Assignees returns the n members that share a duty, by rendezvous hashing over the alive and suspect members. This
-// router counts itself unless it is leaving, and also if nobody else is left.
+// router counts itself unless it is leaving, and also if no other member is left.
 func (t *Table) Assignees(duty string, n int) (names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/membership/table_test.go
+++ b/core/membership/table_test.go
@@ -39,7 +39,7 @@
 	return "unknown"
 }
 
-func rumours() *rapid.Generator[[]membership.Update] {
+func updateLists() *rapid.Generator[[]membership.Update] {
 	one := rapid.Custom(func(t *rapid.T) membership.Update {
 		return membership.Update{
 			Name:        fmt.Sprintf("r%d", rapid.IntRange(0, 2).Draw(t, "name")),
@@ -53,7 +53,7 @@
 // Two routers that receive the same updates reach the same view, whatever the order and number of deliveries.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		updates := rumours().Draw(t, "rumours")
+		updates := updateLists().Draw(t, "updates")
 		shuffled := rapid.Permutation(updates).Draw(t, "shuffled")
 		a, b := table("a", "r0", "r1", "r2"), table("b", "r0", "r1", "r2")
 		a.Rumours(updates, start)
@@ -71,7 +71,7 @@
 func TestMergeByArrivalDependsOnOrder(t *testing.T) {
 	differing := 0
 	for seed := range 100 {
-		updates := rumours().Example(seed)
+		updates := updateLists().Example(seed)
 		latest, reversed := map[string]membership.State{}, map[string]membership.State{}
 		for i := range updates {
 			latest[updates[i].Name] = updates[i].State
@@ -91,7 +91,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := table("a", "r0", "r1", "r2")
 		a.Rumours([]membership.Update{{Name: "r0", Incarnation: 4, State: membership.Leaving}}, start)
-		a.Rumours(rumours().Draw(t, "rumours"), start)
+		a.Rumours(updateLists().Draw(t, "updates"), start)
 		if state(a, "r0") != "leaving" {
 			t.Fatalf("r0 is %s", state(a, "r0"))
 		}
--- a/core/overflow/doc.go
+++ b/core/overflow/doc.go
@@ -1,3 +1,3 @@
-// Package spills tracks which chats have their prefix cached on another endpoint than the highest-ranked one for their
-// key.
+// Package overflow tracks which chats overflowed: they have their prefix cached on another endpoint than the
+// highest-ranked one for their key.
 package overflow
--- a/core/overflow/table.go
+++ b/core/overflow/table.go
@@ -14,7 +14,7 @@
 	mu         sync.Mutex
 	entries    map[uint32]entry
 	insertions []insertion
-	ownSpills  []spill
+	ownEntries []chatLocation
 	firstOwn   uint64
 }
 
@@ -28,7 +28,7 @@
 	at   time.Time
 }
 
-type spill struct {
+type chatLocation struct {
 	chat     uint32
 	endpoint uint16
 }
@@ -38,9 +38,9 @@
 	entryTTL = 10 * time.Minute
 	// maxEntries bounds the memory: at 24 bytes for an entry and its insertion time, it is about 6 MB.
 	maxEntries = 1 << 17
-	// maxOwnSpills is how many of this router's own entries are kept for peers that haven't received them.
-	maxOwnSpills = 4096
-	entryBytes   = 6
+	// maxOwnEntries is how many of this router's own entries are kept for peers that haven't received them.
+	maxOwnEntries = 4096
+	entryBytes    = 6
 )
 
 func truncateChat(hash uint64) uint32 { return uint32(hash >> 32) }
@@ -54,16 +54,16 @@
 func (t *Table) Add(chat, endpoint uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := spill{chat: truncateChat(chat), endpoint: truncateEndpoint(endpoint)}
+	s := chatLocation{chat: truncateChat(chat), endpoint: truncateEndpoint(endpoint)}
 	t.insert(s, now)
-	t.ownSpills = append(t.ownSpills, s)
-	if n := len(t.ownSpills) - maxOwnSpills; n > 0 {
-		t.ownSpills = t.ownSpills[n:]
+	t.ownEntries = append(t.ownEntries, s)
+	if n := len(t.ownEntries) - maxOwnEntries; n > 0 {
+		t.ownEntries = t.ownEntries[n:]
 		t.firstOwn += uint64(n)
 	}
 }
 
-func (t *Table) insert(s spill, now time.Time) {
+func (t *Table) insert(s chatLocation, now time.Time) {
 	if t.entries == nil {
 		t.entries = map[uint32]entry{}
 	}
@@ -93,12 +93,12 @@
 func (t *Table) OwnSince(cursor uint64, max int) (data []byte, next uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	from := int(min(uint64(len(t.ownSpills)), cursor-min(cursor, t.firstOwn)))
+	from := int(min(uint64(len(t.ownEntries)), cursor-min(cursor, t.firstOwn)))
 	if cursor < t.firstOwn {
 		from = 0
 	}
-	end := min(from+max, len(t.ownSpills))
-	for _, s := range t.ownSpills[from:end] {
+	end := min(from+max, len(t.ownEntries))
+	for _, s := range t.ownEntries[from:end] {
 		data = binary.BigEndian.AppendUint32(data, s.chat)
 		data = binary.BigEndian.AppendUint16(data, s.endpoint)
 	}
@@ -110,7 +110,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(data) >= entryBytes {
-		t.insert(spill{chat: binary.BigEndian.Uint32(data), endpoint: binary.BigEndian.Uint16(data[4:])}, now)
+		t.insert(chatLocation{chat: binary.BigEndian.Uint32(data), endpoint: binary.BigEndian.Uint16(data[4:])}, now)
 		data = data[entryBytes:]
 	}
 }
--- a/core/placement/bounded.go
+++ b/core/placement/bounded.go
@@ -9,11 +9,11 @@
 
 // Bounded is weighted rendezvous hashing with bounded loads: it chooses the highest-ranked candidate for the
 // key whose load is within the bound. All routers compute the same ranking without coordination, so two routers that
-// find the first choice full spill a chat to the same second choice, where its prefix is then cached for the next
+// find the first choice full move a chat to the same second choice, where its prefix is then cached for the next
 // request.
 //
-// A new chat has no cached prefix to lose, so it spills at a lower bound than a returning one. The bound for a
-// returning chat rises with the value of its cached prefix, so the chats that are cheapest to move spill first. A
+// A new chat has no cached prefix to lose, so it overflows at a lower bound than a returning one. The bound for a
+// returning chat rises with the value of its cached prefix, so the chats that are cheapest to move overflow first. A
 // recently started endpoint is skipped for returning chats: some would now rank highest there, but their prefixes are
 // cached on the endpoints that served them before.
 type Bounded struct {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -146,8 +146,8 @@
 	assert.Assert(t, choose(p, r, candidates, members) != 2)
 }
 
-// A chat that can't go to the highest-ranked endpoint for its key is reported as spilled, even though it goes to the
-// highest-ranked endpoint within the bound. Other routers would look for it at the first one.
+// A chat that can't go to the highest-ranked endpoint for its key is reported with ReasonSpilled, even though it goes
+// to the highest-ranked endpoint within the bound. Other routers would look for it at the first one.
 func TestSecondRankedIsReportedAsSpilled(t *testing.T) {
 	candidates, members := pool(6)
 	for i := range candidates {
--- a/core/placement/policy.go
+++ b/core/placement/policy.go
@@ -14,7 +14,7 @@
 type Request struct {
 	// Key is the routing hash of the chat.
 	Key uint64
-	// WarmEndpoint is the index of the candidate named by a ticket or a spill table entry, or NoCandidate.
+	// WarmEndpoint is the index of the candidate named by a ticket or an overflow table entry, or NoCandidate.
 	WarmEndpoint int
 	// Returning reports whether the chat was answered before, so that some endpoint has its prefix cached.
 	Returning bool
--- a/core/prefixcache/doc.go
+++ b/core/prefixcache/doc.go
@@ -1,2 +1,2 @@
-// Package warmth models the prefix caches of endpoints: which prompt parts they have recently processed.
+// Package prefixcache models the prefix caches of endpoints: which prompt parts they have recently processed.
 package prefixcache
--- a/core/prompt/chain.go
+++ b/core/prompt/chain.go
@@ -18,8 +18,8 @@
 	return n
 }
 
-// RoutingKey returns the id that decides where the chain is placed: that of the last part shared with other requests. The
-// very last part belongs to the request or its chat alone, so it would scatter requests that share the long part
+// RoutingKey returns the id that decides where the chain is placed: that of the last part shared with other requests.
+// The very last part belongs to the request or its chat alone, so it would spread requests that share the long part
 // before it.
 func (c Chain) RoutingKey() uint64 {
 	switch len(c) {
--- a/core/readrotation/doc.go
+++ b/core/readrotation/doc.go
@@ -1,2 +1,2 @@
-// Package rota chooses which routers read the store on behalf of a hub that cannot read it.
+// Package readrotation chooses which routers read the store on behalf of a hub that cannot read it.
 package readrotation
--- a/core/readrotation/rotation_test.go
+++ b/core/readrotation/rotation_test.go
@@ -57,7 +57,7 @@
 }
 
 // A hub that can read assigns no router, and a hub that starts to fail assigns none until its data becomes stale.
-func TestHubThatCanReadAssignsNobody(t *testing.T) {
+func TestHubThatCanReadAssignsNoRouter(t *testing.T) {
 	r := &readrotation.Rotation{}
 	one := readrotation.Router{Name: "a"}
 	assert.Assert(t, !r.ShouldRead(one, readrotation.Hub{Failing: true}, 0))
--- a/core/releasenote/doc.go
+++ b/core/releasenote/doc.go
@@ -1,3 +1,3 @@
-// Package note parses and validates release notes. Operators change the configuration of the fleet only by release
-// notes.
+// Package releasenote parses and validates release notes. Operators change the configuration of the fleet only by
+// release notes.
 package releasenote
--- a/core/request/endpointrequest.go
+++ b/core/request/endpointrequest.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EndpointRequest is what the router tells an endpoint in addition to what the client sent.
+// EndpointRequest is what the router sends to an endpoint in addition to what the client sent.
 type EndpointRequest struct {
 	// ID identifies the client's attempt.
 	ID string
--- a/core/request/problem.go
+++ b/core/request/problem.go
@@ -9,7 +9,7 @@
 // Reason is why a request was not served.
 type Reason string
 
-// The reasons that clients are told, and that logs and metrics name.
+// The reasons that error responses, logs and metrics give.
 const (
 	Malformed        Reason = "malformed"
 	HeaderTooLarge   Reason = "headerTooLarge"
@@ -43,7 +43,7 @@
 // Error returns the reason and whether the request was executed.
 func (p *Problem) Error() string { return string(p.Reason) + " (" + string(p.Outcome) + ")" }
 
-// NotExecuted returns a problem of a request that was not executed and will not be.
+// NotRun returns a problem of a request that was not executed and will not be.
 func NotRun(r Reason, back time.Duration) *Problem {
 	return &Problem{Reason: r, Outcome: outcome.NotRun, RetryAfter: back}
 }
--- a/core/request/request.go
+++ b/core/request/request.go
@@ -21,7 +21,7 @@
 	Timeout time.Duration
 	// LastEventID is the id of the last event of a stream that the client has received, empty for a new stream.
 	LastEventID string
-	// Model, Prompt and MaxOutputTokens describe a generation; MaxOutputTokens is in tokens.
+	// Model, Prompt and MaxOutputTokens describe a generation.
 	Model           string
 	Prompt          prompt.Chain
 	MaxOutputTokens int
--- a/core/retryafter/delay_test.go
+++ b/core/retryafter/delay_test.go
@@ -12,7 +12,7 @@
 // A surge lasts eight seconds and one client in five is admitted. Clients try twice. When all retried after 200 ms,
 // whoever was refused once was refused twice. With a delay as long as the surge has lasted, those of its second half
 // must find it over.
-func TestComingBackOutlastsASurge(t *testing.T) {
+func TestDelaysOutlastASurge(t *testing.T) {
 	const surge, patience, goal = 8 * time.Second, 15 * time.Second, 800 * time.Millisecond
 	outlasted := 0
 	for at := time.Duration(0); at < surge; at += 100 * time.Millisecond {
@@ -23,19 +23,19 @@
 	assert.Assert(t, outlasted >= 40, "%d of 80", outlasted)
 }
 
-func TestAfter(t *testing.T) {
+func TestDelay(t *testing.T) {
 	const s = time.Second
 	for name, c := range map[string]struct {
 		full, goal, left time.Duration
 		draw             float64
 		want             time.Duration
 	}{
-		"a moment's fullness leaves time to be served on time": {0, s, 15 * s, 0.5, s / 2},
-		"no goal":                         {0, 0, 15 * s, 0.5, 200 * time.Millisecond},
-		"as long again":                   {3 * s, s, 15 * s, 0.5, 3 * s},
-		"spread":                          {4 * s, s, 30 * s, 0, 3 * s},
-		"a client with little time left":  {3 * s, s, 3 * s, 0.5, s},
-		"a client whose time has run out": {3 * s, s, -s, 0.5, 0},
+		"a service that has just filled up leaves time to be served on time": {0, s, 15 * s, 0.5, s / 2},
+		"no goal":                              {0, 0, 15 * s, 0.5, 200 * time.Millisecond},
+		"as long as the service has been full": {3 * s, s, 15 * s, 0.5, 3 * s},
+		"jitter":                               {4 * s, s, 30 * s, 0, 3 * s},
+		"a client with little time left":       {3 * s, s, 3 * s, 0.5, s},
+		"a client whose time has run out":      {3 * s, s, -s, 0.5, 0},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, retryafter.Delay(c.full, c.goal, c.left, c.draw), c.want) })
 	}
--- a/core/retryafter/doc.go
+++ b/core/retryafter/doc.go
@@ -1,2 +1,2 @@
-// Package comeback computes when the client of a refused request should retry.
+// Package retryafter computes the delay after which the client of a refused request should retry.
 package retryafter
--- a/core/retrybudget/doc.go
+++ b/core/retrybudget/doc.go
@@ -1,2 +1,2 @@
-// Package retry holds the budget for retries.
+// Package retrybudget limits the retries of one router to a budget that first attempts fill.
 package retrybudget
--- a/core/retrylimit/doc.go
+++ b/core/retrylimit/doc.go
@@ -1,2 +1,3 @@
-// Package retryshare gives a router its share of the retries that all routers together may send to a service.
+// Package retrylimit limits the retries that all routers together send to a service by giving each router a share of
+// them.
 package retrylimit
--- a/core/rollout/doc.go
+++ b/core/rollout/doc.go
@@ -1,3 +1,3 @@
-// Package orders plans which model versions each engine should load, by comparing the wanted state with the state that
+// Package rollout plans which model versions each engine should load, by comparing the wanted state with the state that
 // the engines report.
 package rollout
--- a/core/rollout/plan.go
+++ b/core/rollout/plan.go
@@ -12,8 +12,8 @@
 	Loaded []string
 }
 
-// WantedVersion is a version or adapter that Replicas engines should have loaded; zero means all engines that may serve the
-// model.
+// WantedVersion is a version or adapter that Replicas engines should have loaded; zero means all engines that may serve
+// the model.
 type WantedVersion struct {
 	Model    string
 	Name     string
--- a/core/settings/entry.go
+++ b/core/settings/entry.go
@@ -145,8 +145,8 @@
 // MetricsAddress returns the listen address for metrics.
 func (s *Entry) MetricsAddress() string { return s.metrics }
 
-// AdvertisedAddress returns the address at which other routers reach this one. It is that of Peers, unless there is a proxy or
-// NAT between them.
+// AdvertisedAddress returns the address at which other routers reach this one. It is that of PeerAddress, unless there
+// is a proxy or NAT between them.
 func (s *Entry) AdvertisedAddress() string { return s.announced }
 
 // PeerAddress returns the listen address for other routers.
--- a/core/sse/doc.go
+++ b/core/sse/doc.go
@@ -1,2 +1,2 @@
-// Package eventsplit splits a stream of server-sent events into complete events without changing their bytes.
+// Package sse splits a stream of server-sent events into complete events without changing their bytes.
 package sse
--- a/core/ticket/signer.go
+++ b/core/ticket/signer.go
@@ -15,7 +15,7 @@
 	key []byte
 }
 
-// NewSealer returns a Sealer with the given secret, which must be the same on all routers.
+// NewSealer returns a Signer with the given secret, which must be the same on all routers.
 func NewSealer(key []byte) *Signer {
 	return &Signer{key: key}
 }
--- a/core/tomldoc/document.go
+++ b/core/tomldoc/document.go
@@ -19,7 +19,7 @@
 	faults   Errors
 }
 
-// Parse parses TOML text; file is used in error messages only. The error is a Faults with the position of the syntax
+// Parse parses TOML text; file is used in error messages only. The error is an Errors with the position of the syntax
 // error.
 func Parse(file string, data []byte) (doc *Document, err error) {
 	doc = &Document{file: file, lines: map[string]int{}, readKeys: map[string]bool{}}
@@ -129,7 +129,7 @@
 	Want string
 }
 
-// Error formats the fault as file:line, which editors can jump to.
+// Error formats the error as file:line, which editors can jump to.
 func (f Error) Error() string {
 	if f.Key == "" {
 		return fmt.Sprintf("%s:%d: found %s; allowed: %s", f.File, f.Line, f.Got, f.Want)
@@ -140,7 +140,7 @@
 // Errors lists all errors of a document, sorted by line.
 type Errors []Error
 
-// Error returns all faults, one per line.
+// Error returns all errors, one per line.
 func (fs Errors) Error() string {
 	lines := make([]string, 0, len(fs))
 	for _, f := range fs {
@@ -149,7 +149,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// FromValues makes a document of values that were parsed earlier. Its faults have no line numbers.
+// FromValues makes a document of values that were parsed earlier. Its errors have no line numbers.
 func FromValues(file string, values map[string]any) *Document {
 	return &Document{file: file, root: values, lines: map[string]int{}, readKeys: map[string]bool{}}
 }
--- a/core/tomldoc/table.go
+++ b/core/tomldoc/table.go
@@ -9,7 +9,7 @@
 )
 
 // Table is a table of a document. Its getters return the fallback if the key is absent. If the value is invalid, they
-// also record a fault.
+// also record an error.
 type Table struct {
 	doc    *Document
 	path   string
