--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -38,7 +38,7 @@
 }
 
 // minReloadAge is the age below which a process is not sent SIGHUP: the signal kills a process that has not installed
-// its handler yet. A process that young has no clients, and it reads the settings afterwards in any case.
+// its handler yet. A process that has just started has no clients, and it reads the settings afterwards in any case.
 const minReloadAge = 100 * time.Millisecond
 
 // firstPort is the first of a router's ports, which are below the system's ephemeral ports.
@@ -69,7 +69,7 @@
 }
 
 // start waits for the previous process to exit and starts a new one, unless one is running already. A process that
-// exits without being told to is a violation and is restarted, as the platform does.
+// exits without a stop request is a violation and is restarted, as the platform does.
 func (h *harness) start(r *router) {
 	r.startMu.Lock()
 	defer r.startMu.Unlock()
@@ -102,14 +102,14 @@
 	err := cmd.Wait()
 	// Set before the next process can start, because that one has not been told to stop.
 	r.mu.Lock()
-	told := r.stopRequested
+	requested := r.stopRequested
 	r.stopRequested = true
 	r.mu.Unlock()
 	close(exited)
-	if told {
+	if requested {
 		return
 	}
-	h.addViolation("%s exited without being told to: %v", r.name, err)
+	h.addViolation("%s exited without a stop request: %v", r.name, err)
 	h.recordFault("exited unexpectedly", r.name, 0, false)
 	h.start(r)
 }
