--- a/core/activeconfig/apply.go
+++ b/core/activeconfig/apply.go
@@ -13,7 +13,8 @@
 	"savoryfall/core/version"
 )
 
-// MaxNotes bounds the number of notes whose results are remembered; at 13,000 notes a day it covers more than a day.
+// MaxNotes bounds the number of release notes whose results are remembered; at 13,000 notes a day it covers more than a
+// day.
 const MaxNotes = 16384
 
 // Kinds of records on the configuration stream.
@@ -38,8 +39,8 @@
 }
 
 // Apply returns the configuration after the record at the given offset; it is deterministic, so that all routers agree.
-// A record that was already applied changes nothing. A gap is an error: the missed note could conflict with a later
-// one, and this router would then differ from the others permanently.
+// A record that was already applied changes nothing. A gap is an error: the missed release note could conflict with a
+// later one, and this router would then differ from the others permanently.
 func (c *Configuration) Apply(offset int64, data []byte) (next *Configuration, err error) {
 	if offset < c.next {
 		return c, nil
@@ -73,8 +74,8 @@
 	return &next
 }
 
-// applyNote checks and applies a note. A note id is handled only once: when a publisher retries because it lost the
-// response, the first result stands.
+// applyNote checks and applies a release note. A note id is handled only once: when a publisher retries because it lost
+// the response, the first result stands.
 func (c *Configuration) applyNote(offset int64, n *releasenote.Note) {
 	if _, known := c.notes[n.ID()]; known {
 		return
--- a/core/activeconfig/check.go
+++ b/core/activeconfig/check.go
@@ -9,7 +9,8 @@
 	"savoryfall/core/version"
 )
 
-// Check returns the reason why the note would be refused if it were published now, or "" if it would be accepted.
+// Check returns the reason why the release note would be refused if it were published now, or "" if it would be
+// accepted.
 func (c *Configuration) Check(n *releasenote.Note) (refusal string) {
 	if result, known := c.notes[n.ID()]; known {
 		return fmt.Sprintf("the id %q is taken by the note at offset %d", n.ID(), result.offset)
@@ -44,8 +45,8 @@
 	return result.offset, ""
 }
 
-// checkConflicts refuses a note that touches an item which was changed after the note's base. Otherwise the later of
-// two concurrent publishers would silently overwrite the earlier one.
+// checkConflicts refuses a release note that touches an item which was changed after the note's base. Otherwise the
+// later of two concurrent publishers would silently overwrite the earlier one.
 func (c *Configuration) checkConflicts(n *releasenote.Note, base int64) string {
 	for _, i := range n.Items() {
 		if e, ok := c.items[i.Key()]; ok && e.offset > base {
--- a/core/activeconfig/configuration.go
+++ b/core/activeconfig/configuration.go
@@ -50,7 +50,7 @@
 // NextOffset returns the offset of the first record that is not applied yet.
 func (c *Configuration) NextOffset() int64 { return c.next }
 
-// CurrentNoteID returns the id of the newest accepted note.
+// CurrentNoteID returns the id of the newest accepted release note.
 func (c *Configuration) CurrentNoteID() string { return c.currentNote }
 
 // Digest returns a hash of the items in force. It is equal on two routers that have the same items in force.
@@ -95,8 +95,8 @@
 	return s, ok
 }
 
-// Refusal returns the reason why the note was refused, "" if it was accepted. known is false if the note has not been
-// applied or its result was discarded (see MaxNotes).
+// Refusal returns the reason why the release note was refused, "" if it was accepted. known is false if the note has
+// not been applied or its result was discarded (see MaxNotes).
 func (c *Configuration) Refusal(noteID string) (reason string, known bool) {
 	result, known := c.notes[noteID]
 	return result.refusal, known
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -55,13 +55,13 @@
 // simulate runs a history and counts how often the call of each key ran. Without readBack, a claimant sends the call as
 // soon as its append succeeds.
 func simulate(steps []step, readBack bool) (ran map[string]int) {
-	book := claim.NewBook(window)
+	table := claim.NewBook(window)
 	ran = map[string]int{}
 	offset := int64(0)
 	at := time.Unix(1_000_000, 0)
 	appendRecord := func(r claim.Record) {
 		at = at.Add(time.Second)
-		book.Apply(offset, at, claim.Encode([]claim.Record{r}))
+		table.Apply(offset, at, claim.Encode([]claim.Record{r}))
 		offset++
 	}
 	claimantStates := make([]claimant, claimants)
@@ -76,8 +76,8 @@
 			}
 			c.stage = 1
 		case 1:
-			standing, _ := book.OwnershipOf("a", c.key, attempt, "d")
-			if readBack && standing != claim.Owner {
+			ownership, _ := table.OwnershipOf("a", c.key, attempt, "d")
+			if readBack && ownership != claim.Owner {
 				c.stage, c.attempt = 0, c.attempt+1
 				continue
 			}
--- a/core/dispatch/caches_test.go
+++ b/core/dispatch/caches_test.go
@@ -60,10 +60,10 @@
 
 // read has the engine fetch what the request names, and read what it still lacks.
 func (l *cacheFleet) read(a *dispatch.Attempt, chain prompt.Chain) {
-	own, donor := l.cached[a.Endpoint().ID], l.cached[l.addresses[a.FetchSource()]]
+	own, source := l.cached[a.Endpoint().ID], l.cached[l.addresses[a.FetchSource()]]
 	for i, p := range chain {
 		_, has := own[p.ID]
-		_, fetched := donor[p.ID]
+		_, fetched := source[p.ID]
 		if !has && !fetched && i < len(chain)-1 && l.cachedAnywhere(p.ID) {
 			l.rereadTokens += p.Tokens
 		}
--- a/core/dispatch/demand.go
+++ b/core/dispatch/demand.go
@@ -125,7 +125,7 @@
 	m.holdTime.add(s, now)
 }
 
-// exchangeReports returns this router's demand for the other routers, without ranks that have next to none.
+// report returns this router's demand for the other routers, without ranks that have next to none.
 func (m *demand) report(service uint32, now time.Time) (list []fleetload.Demand) {
 	m.fade(now)
 	for rank, l := range m.levels {
--- a/core/dispatch/exchange_test.go
+++ b/core/dispatch/exchange_test.go
@@ -157,7 +157,7 @@
 // Twenty engines are three quarters full, and each of thirty routers sees a few requests a second. What one router
 // sees is mostly chance: extrapolated to the whole fleet it kept a third of the capacity free, and one question in six
 // was refused although all could be served.
-func TestManyRoutersRefuseNobodyWhoCouldBeServed(t *testing.T) {
+func TestManyRoutersRefuseNoRequestThatCouldBeServed(t *testing.T) {
 	const routers, engines, requests = 30, 20, 1500
 	c := newRouterFleet(t, routers, engines)
 	c.losesAnswer = func(string, int) bool { return false }
--- a/core/dispatch/metrics.go
+++ b/core/dispatch/metrics.go
@@ -29,7 +29,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m.PromptTokens, m.CachedTokens, m.Endpoints = d.promptTokens, d.cachedTokens, len(d.byID)
-	m.LoadReportAge = d.viewAge(now)
+	m.LoadReportAge = d.loadReportAge(now)
 	for _, pool := range d.pools {
 		m.MaxOverMean = max(m.MaxOverMean, maxOverMean(pool, now))
 		for _, e := range pool {
@@ -53,10 +53,10 @@
 func (d *Dispatcher) LoadReportAge(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.viewAge(now)
+	return d.loadReportAge(now)
 }
 
-func (d *Dispatcher) viewAge(now time.Time) time.Duration {
+func (d *Dispatcher) loadReportAge(now time.Time) time.Duration {
 	if d.othersAt.IsZero() {
 		return 0
 	}
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -91,7 +91,7 @@
 }
 
 // While half of a service's capacity is free, nothing is refused, whatever is expected.
-func TestNobodyIsRefusedWhileHalfIsFree(t *testing.T) {
+func TestNoRequestIsRefusedWhileHalfIsFree(t *testing.T) {
 	c := newRankedLoad(t, 4)
 	n := c.run(60, 4*time.Second)
 	assert.Equal(t, n.urgentRefused+n.othersRefused, 0, "%+v", n)
--- a/core/fleetload/totals.go
+++ b/core/fleetload/totals.go
@@ -22,7 +22,7 @@
 	version int64
 }
 
-// totalsMaxAge is how old the totals that are sent may be. Summing up all reports for each report of a router would
+// totalsMaxAge is how old the totals that are sent may be. Summing up all reports for each router that reports would
 // cost the square of the number of routers.
 const totalsMaxAge = 40 * time.Millisecond
 
--- a/core/loganalysis/log_test.go
+++ b/core/loganalysis/log_test.go
@@ -30,7 +30,7 @@
 
 // Explain returns the line of the request and the earlier lines about the view of its router, but not those of another
 // router.
-func TestStory(t *testing.T) {
+func TestExplain(t *testing.T) {
 	l := readLog(t, sampleLog)
 	assert.Equal(t, l.Len(), 8)
 	assert.Equal(t, l.Skipped(), 2)
--- a/core/members/member.go
+++ b/core/members/member.go
@@ -15,7 +15,7 @@
 	// Started is the start time of the router's process in Unix milliseconds. It only distinguishes processes of
 	// the same name.
 	Started int64 `json:"-"`
-	// FollowerCapacity is how many followers the router's VM could serve as hub.
+	// Bears is how many followers the router's VM could serve as hub.
 	Bears int `json:"bears"`
 }
 
--- a/core/releasenote/note.go
+++ b/core/releasenote/note.go
@@ -45,7 +45,7 @@
 	return append(all, n.withdrawn...)
 }
 
-// Parse parses and validates a note. The error is a tomldoc.Errors that lists all errors.
+// Parse parses and validates a release note. The error is a tomldoc.Errors that lists all errors.
 func Parse(file string, data []byte) (n *Note, err error) {
 	if len(data) > MaxBytes {
 		return nil, tomldoc.Errors{{
--- a/core/routetable/table.go
+++ b/core/routetable/table.go
@@ -42,7 +42,7 @@
 	Public bool
 }
 
-// ChooseService is a service that handles a share of a route's requests in proportion to its weight.
+// Target is a service that handles a share of a route's requests in proportion to its weight.
 type Target struct {
 	Service string
 	Weight  float64
@@ -64,7 +64,7 @@
 	ColdPerSecond float64
 }
 
-// AccountByKey is a client account and the keys that identify it.
+// Account is a client account and the keys that identify it.
 type Account struct {
 	Name string
 	Keys []string
@@ -99,7 +99,7 @@
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	// RequiresKey is set if requests need a key unless their route is public.
+	// RequireKey is set if requests need a key unless their route is public.
 	RequireKey bool
 	Limits     Limits
 }
--- a/core/settings/claims.go
+++ b/core/settings/claims.go
@@ -23,7 +23,7 @@
 // KeyRetention returns how long an idempotency key is remembered.
 func (c Claims) KeyRetention() time.Duration { return c.window }
 
-// LeaseTerm returns how long a claim is valid after it was appended to the log.
+// Validity returns how long a claim is valid after it was appended to the log.
 func (c Claims) Validity() time.Duration { return c.term }
 
 // Partitions returns the number of streams that the keys are distributed over. It must be the same on all routers and
--- a/core/settings/entry.go
+++ b/core/settings/entry.go
@@ -42,7 +42,7 @@
 // Slack returns the number of retries allowed in a window in addition to the ratio.
 func (r RetryBudget) Slack() float64 { return r.slack }
 
-// KeyRetention returns the time window over which requests and retries are counted.
+// Window returns the time window over which requests and retries are counted.
 func (r RetryBudget) Window() time.Duration { return r.window }
 
 // ColdLimits holds the section cold: by how much all routers together may exceed the rate of a cold endpoint.
@@ -126,7 +126,7 @@
 // LinkMbps returns the network bandwidth of the VM; 0 means unknown.
 func (s *Entry) LinkMbps() float64 { return s.linkMbps }
 
-// ColdLimits returns the limits on requests to endpoints that have just started.
+// Cold returns the limits on requests to endpoints that have just started.
 func (s *Entry) Cold() ColdLimits { return s.cold }
 
 // DrainedWithin returns how long it may take until the drain of a failure domain is in force on every router.
@@ -161,7 +161,7 @@
 // ShutdownGrace returns how long the process may take to shut down.
 func (s *Entry) ShutdownGrace() time.Duration { return s.grace }
 
-// RetryBudget returns the retry budget of the whole fleet.
+// Retries returns the retry budget of the whole fleet.
 func (s *Entry) Retries() RetryBudget { return s.retries }
 
 // Traces returns the destination of trace spans.
--- a/core/settings/peers.go
+++ b/core/settings/peers.go
@@ -6,7 +6,7 @@
 	"savoryfall/core/tomldoc"
 )
 
-// PeerAddress holds the section peers: communication between the routers of the fleet.
+// Peers holds the section peers: communication between the routers of the fleet.
 type Peers struct {
 	address        string
 	certificate    string
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -51,7 +51,7 @@
 // Operators returns the section operators.
 func (s *Settings) Operators() Operators { return s.operators }
 
-// PeerAddress returns the section peers.
+// Peers returns the section peers.
 func (s *Settings) Peers() Peers { return s.peers }
 
 // Platform returns the section platform.
--- a/core/tomldoc/document.go
+++ b/core/tomldoc/document.go
@@ -16,11 +16,11 @@
 	root     map[string]any
 	lines    map[string]int
 	readKeys map[string]bool
-	faults   Errors
+	errors   Errors
 }
 
-// Parse parses TOML text; file is used in error messages only. The error is an Errors with the position of the syntax
-// error.
+// Parse parses TOML text; file is used in error messages only. The error is of type Errors, with the position of the
+// syntax error.
 func Parse(file string, data []byte) (doc *Document, err error) {
 	doc = &Document{file: file, lines: map[string]int{}, readKeys: map[string]bool{}}
 	if !utf8.Valid(data) {
@@ -64,7 +64,7 @@
 // Err returns all errors found so far and one for each key that was never read, or nil if there are none. Call it after
 // all keys were read.
 func (d *Document) Err() error {
-	faults := append(Errors{}, d.faults...)
+	faults := append(Errors{}, d.errors...)
 	for path := range d.lines {
 		if !d.readKeys[path] {
 			faults = append(faults, d.unknownKey(path))
@@ -105,7 +105,7 @@
 }
 
 func (d *Document) addFault(path, found, allowed string) {
-	d.faults = append(d.faults, Error{File: d.file, Line: d.lineOf(path), Key: path, Got: found, Want: allowed})
+	d.errors = append(d.errors, Error{File: d.file, Line: d.lineOf(path), Key: path, Got: found, Want: allowed})
 }
 
 // lineOf returns the line of the key. For a missing key it returns the line of the innermost enclosing table that has
@@ -120,7 +120,7 @@
 	return 1
 }
 
-// AddError is one error in a document: its position, what was found and what is allowed.
+// Error is one error in a document: its position, what was found and what is allowed.
 type Error struct {
 	File string
 	Line int
