--- a/core/dispatch/demand.go
+++ b/core/dispatch/demand.go
@@ -125,7 +125,7 @@
 	m.holdTime.add(s, now)
 }
 
-// exchangeReports returns this router's demand for the other routers, without ranks that have next to none.
+// report returns this router's demand for the other routers, without ranks that have next to none.
 func (m *demand) report(service uint32, now time.Time) (list []fleetload.Demand) {
 	m.fade(now)
 	for rank, l := range m.levels {
@@ -196,7 +196,7 @@
 	return arrivals * math.Ln2 / demandHalfLife.Seconds(), running
 }
 
-// othersShare returns the share of the requests that other routers get, of which this one hears late.
+// othersShare returns the share of the requests that other routers get, which this one learns of late.
 func (m *demand) othersShare(now time.Time) float64 {
 	if now.Sub(m.othersAt) > othersMaxAge {
 		return 0
--- a/core/field/field.go
+++ b/core/field/field.go
@@ -21,7 +21,7 @@
 	Route Name = "route"
 	// Status is the HTTP status of the response; 0 if the client did not receive a complete one.
 	Status Name = "status"
-	// Reason is why the request was not served, an ask.Reason.
+	// Reason is why the request was not served, a request.Reason.
 	Reason Name = "reason"
 	// Outcome tells whether the request may have run, an outcome.Outcome.
 	Outcome Name = "outcome"
@@ -59,7 +59,7 @@
 
 // Fields of a client connection that has ended.
 const (
-	// Ended is who ended the connection, a clientconn.Ending.
+	// Ended is who ended the connection, a clientconn.CloseReason.
 	Ended Name = "ended"
 	// Served is the number of responses that it had carried before.
 	Served Name = "served"
--- a/core/loadplan/plan.go
+++ b/core/loadplan/plan.go
@@ -47,7 +47,7 @@
 	Zipf  float64
 }
 
-// Chats configures the traffic. The routers are not told any of it.
+// Chats configures the traffic. The routers do not know any of it.
 type Chats struct {
 	RequestsPerSecond float64
 	CallsPerSecond    float64
@@ -92,7 +92,7 @@
 
 const maxDuration = 10 * time.Minute
 
-// Parse parses and validates a plan. The error is a tomldoc.Faults that lists all errors.
+// Parse parses and validates a plan. The error is a tomldoc.Errors that lists all errors.
 func Parse(file string, data []byte) (p *Plan, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -20,7 +20,7 @@
 	traces    Traces
 }
 
-// Parse parses and validates a settings file. The error is a tomldoc.Faults that lists all errors.
+// Parse parses and validates a settings file. The error is a tomldoc.Errors that lists all errors.
 func Parse(file string, data []byte) (s *Settings, err error) {
 	doc, err := tomldoc.Parse(file, data)
 	if err != nil {
@@ -51,7 +51,7 @@
 // Operators returns the section operators.
 func (s *Settings) Operators() Operators { return s.operators }
 
-// PeerAddress returns the section peers.
+// Peers returns the section peers.
 func (s *Settings) Peers() Peers { return s.peers }
 
 // Platform returns the section platform.
