--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -8,7 +8,7 @@
 )
 
 // Table holds the claims made within the window, as read from the claim stream. All routers that have read up to the
-// same offset hold the same claims. The zero value has no window; create one with NewBook.
+// same offset hold the same claims. The zero value has no window; create one with NewTable.
 type Table struct {
 	window        time.Duration
 	next          int64
@@ -61,9 +61,9 @@
 	return data
 }
 
-// NewBook returns a table that keeps keys for the window, measured by the timestamps that the log assigns to its
+// NewTable returns a table that keeps keys for the window, measured by the timestamps that the log assigns to its
 // records.
-func NewBook(window time.Duration) *Table {
+func NewTable(window time.Duration) *Table {
 	return &Table{window: window, claims: map[claimID]*claim{}}
 }
 
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -55,7 +55,7 @@
 // simulate runs a history and counts how often the call of each key ran. Without readBack, a claimant sends the call as
 // soon as its append succeeds.
 func simulate(steps []step, readBack bool) (ran map[string]int) {
-	table := claim.NewBook(window)
+	table := claim.NewTable(window)
 	ran = map[string]int{}
 	offset := int64(0)
 	at := time.Unix(1_000_000, 0)
@@ -130,7 +130,7 @@
 // An attempt that lost the claim may not send the call and sees the outcome once it is recorded. A request with another
 // digest is rejected.
 func TestClaimStatus(t *testing.T) {
-	b := claim.NewBook(window)
+	b := claim.NewTable(window)
 	at := time.Unix(1_000_000, 0)
 	apply := func(offset int64, r claim.Record) { b.Apply(offset, at, claim.Encode([]claim.Record{r})) }
 	stand := func(attempt, digest string) claim.Ownership {
@@ -153,7 +153,7 @@
 
 // A key expires after the window. A table that starts late doesn't cover all keys until a full window has passed.
 func TestClaimsExpireAfterWindow(t *testing.T) {
-	b := claim.NewBook(window)
+	b := claim.NewTable(window)
 	at := time.Unix(1_000_000, 0)
 	b.SkipTo(7, at)
 	b.Apply(7, at, claim.Encode([]claim.Record{{Kind: claim.KindClaim, Account: "a", Key: "k", Attempt: "x", Digest: "d"}}))
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -111,7 +111,7 @@
 	if now.Sub(e.othersReportAt) > othersMaxAge {
 		return own
 	}
-	return max(own, float64(e.othersReport.Unaccounted)*e.untrackedShare(now.Sub(e.othersReportAt)))
+	return max(own, float64(e.othersReport.Untracked)*e.untrackedShare(now.Sub(e.othersReportAt)))
 }
 
 // recordLoad records the load that an answer reports. Compared with the hub's count of requests that routers wait for,
--- a/core/dispatch/exchange.go
+++ b/core/dispatch/exchange.go
@@ -19,7 +19,7 @@
 		}
 		w.Loads = append(w.Loads, fleetload.Load{
 			Endpoint: e.shortHash(), Running: e.running, PendingPromptTokens: e.unreadTokens,
-			Failures: float32(e.failures.bad), Attempts: float32(e.failures.all), Unaccounted: float32(untracked),
+			Failures: float32(e.failures.bad), Attempts: float32(e.failures.all), Untracked: float32(untracked),
 		})
 	}
 	for service, m := range d.demands {
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -141,7 +141,7 @@
 		choose(t, d, dispatch.Query{Service: plain}, now)
 	}
 	for _, l := range d.OwnWorkload(now).Loads {
-		assert.Assert(t, l.Unaccounted < 1, "%+v", l)
+		assert.Assert(t, l.Untracked < 1, "%+v", l)
 	}
 }
 
--- a/core/dispatch/surge_test.go
+++ b/core/dispatch/surge_test.go
@@ -360,7 +360,7 @@
 	own := d.OwnWorkload(start)
 	a.RecordFirstBytes(dispatch.Load{}, now)
 	a.End(dispatch.Served, now)
-	total := fleetload.Workload{Loads: []fleetload.Load{{Endpoint: own.Loads[0].Endpoint, Unaccounted: 12}}}
+	total := fleetload.Workload{Loads: []fleetload.Load{{Endpoint: own.Loads[0].Endpoint, Untracked: 12}}}
 	d.SetFleetWorkload(total, fleetload.Workload{}, now)
 	_, why := d.Choose(dispatch.Query{Service: plain}, now)
 	assert.Equal(t, why, dispatch.ReasonAllFull)
--- a/core/fleetload/aggregator.go
+++ b/core/fleetload/aggregator.go
@@ -20,10 +20,10 @@
 	// Failures and Attempts decay over time.
 	Failures float32
 	Attempts float32
-	// Unaccounted counts the requests that the endpoint reports beyond those that the routers account for: some
+	// Untracked counts the requests that the endpoint reports beyond those that the routers account for: some
 	// endpoints keep working for clients that have disconnected. When several routers report a value, the highest
 	// is used.
-	Unaccounted float32
+	Untracked float32
 }
 
 // Demand is the demand for a service at one priority rank, from one router or from all routers together.
@@ -247,11 +247,11 @@
 	l.PendingPromptTokens += other.PendingPromptTokens
 	l.Failures += other.Failures
 	l.Attempts += other.Attempts
-	l.Unaccounted = max(l.Unaccounted, other.Unaccounted)
+	l.Untracked = max(l.Untracked, other.Untracked)
 }
 
 // minus subtracts a part of the load. The part may be newer than the whole, so no difference goes below zero.
-// Unaccounted is not subtracted: it is reported by the endpoint itself and is the same for all routers.
+// Untracked is not subtracted: it is reported by the endpoint itself and is the same for all routers.
 func (w Workload) minus(part Workload) (difference Workload) {
 	partLoads := map[uint32]Load{}
 	for _, l := range part.Loads {
@@ -261,7 +261,7 @@
 		subtrahend := partLoads[l.Endpoint]
 		difference.Loads = append(difference.Loads, Load{
 			Endpoint: l.Endpoint, Running: max(l.Running-subtrahend.Running, 0), PendingPromptTokens: max(l.PendingPromptTokens-subtrahend.PendingPromptTokens, 0),
-			Failures: max(l.Failures-subtrahend.Failures, 0), Attempts: max(l.Attempts-subtrahend.Attempts, 0), Unaccounted: l.Unaccounted,
+			Failures: max(l.Failures-subtrahend.Failures, 0), Attempts: max(l.Attempts-subtrahend.Attempts, 0), Untracked: l.Untracked,
 		})
 	}
 	partDemands := map[rankKey]Demand{}
--- a/core/fleetload/totals.go
+++ b/core/fleetload/totals.go
@@ -104,7 +104,7 @@
 
 // rounded reduces the precision of the decaying counts, so that decay alone does not make every load a change.
 func (l Load) rounded() Load {
-	l.Failures, l.Attempts, l.Unaccounted = rounded(l.Failures), rounded(l.Attempts), rounded(l.Unaccounted)
+	l.Failures, l.Attempts, l.Untracked = rounded(l.Failures), rounded(l.Attempts), rounded(l.Untracked)
 	return l
 }
 
--- a/core/health/table.go
+++ b/core/health/table.go
@@ -71,10 +71,10 @@
 	}
 }
 
-// Heard records that an endpoint answered a request sent at the time asked, with the incarnation in its answer and
-// whether it said that it is leaving. It returns whether the incarnation has changed, in which case the endpoint's
+// RecordAnswer records that an endpoint answered a request sent at the time asked, with the incarnation in its answer
+// and whether it said that it is leaving. It returns whether the incarnation has changed, in which case the endpoint's
 // cache is empty.
-func (t *Table) Heard(name, incarnation string, leaving bool, asked time.Time) (restarted bool) {
+func (t *Table) RecordAnswer(name, incarnation string, leaving bool, asked time.Time) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.endpoints[name]
--- a/core/health/table_test.go
+++ b/core/health/table_test.go
@@ -14,7 +14,7 @@
 func table() *health.Table {
 	t := &health.Table{}
 	t.Configure([]string{"e"})
-	t.Heard("e", "one", false, start)
+	t.RecordAnswer("e", "one", false, start)
 	return t
 }
 
@@ -25,9 +25,9 @@
 	assert.Assert(t, h.MarkLeaving("e", "one"))
 	assert.Assert(t, !h.MarkLeaving("e", "one"))
 	h.Listed("e", false)
-	h.Heard("e", "one", false, start.Add(time.Second))
+	h.RecordAnswer("e", "one", false, start.Add(time.Second))
 	assert.Equal(t, h.State("e", start.Add(time.Second)), health.Leaving)
-	assert.Assert(t, h.Heard("e", "two", false, start.Add(2*time.Second)))
+	assert.Assert(t, h.RecordAnswer("e", "two", false, start.Add(2*time.Second)))
 	assert.Equal(t, h.State("e", start.Add(2*time.Second)), health.Up)
 	h.MarkLeaving("e", "one")
 	assert.Equal(t, h.State("e", start.Add(2*time.Second)), health.Up)
@@ -38,7 +38,7 @@
 	h := table()
 	h.Listed("e", true)
 	assert.Equal(t, h.State("e", start), health.Leaving)
-	h.Heard("e", "two", false, start.Add(time.Second))
+	h.RecordAnswer("e", "two", false, start.Add(time.Second))
 	h.Listed("e", true)
 	assert.Equal(t, h.State("e", start.Add(time.Second)), health.Up)
 }
@@ -52,7 +52,7 @@
 	assert.Equal(t, h.State("e", start), health.Up)
 	h.Failed("e", false, start)
 	assert.Equal(t, h.State("e", start), health.Down)
-	h.Heard("e", "one", false, start.Add(time.Second))
+	h.RecordAnswer("e", "one", false, start.Add(time.Second))
 	assert.Equal(t, h.State("e", start.Add(time.Second)), health.Up)
 	h.Failed("e", true, start.Add(time.Second))
 	assert.Equal(t, h.State("e", start.Add(time.Second)), health.Down)
@@ -63,9 +63,9 @@
 func TestAnswerToEarlierRequestDoesNotRevive(t *testing.T) {
 	h := table()
 	h.Failed("e", true, start.Add(2*time.Second))
-	h.Heard("e", "one", false, start.Add(time.Second))
+	h.RecordAnswer("e", "one", false, start.Add(time.Second))
 	assert.Equal(t, h.State("e", start.Add(2*time.Second)), health.Down)
-	h.Heard("e", "one", false, start.Add(3*time.Second))
+	h.RecordAnswer("e", "one", false, start.Add(3*time.Second))
 	assert.Equal(t, h.State("e", start.Add(3*time.Second)), health.Up)
 }
 
@@ -78,7 +78,7 @@
 	for range 4 {
 		now = now.Add(20 * time.Second)
 		h.Failed("e", true, now)
-		h.Heard("e", "one", false, now)
+		h.RecordAnswer("e", "one", false, now)
 		wait := time.Duration(0)
 		for h.State("e", now.Add(wait)) == health.Damped {
 			wait += time.Second
@@ -88,7 +88,7 @@
 	assert.DeepEqual(t, dampedFor, []time.Duration{0, 2 * time.Second, 4 * time.Second, 8 * time.Second})
 	now = now.Add(10 * time.Minute)
 	h.Failed("e", true, now)
-	h.Heard("e", "one", false, now)
+	h.RecordAnswer("e", "one", false, now)
 	assert.Equal(t, h.State("e", now), health.Up)
 }
 
@@ -98,7 +98,7 @@
 	h := &health.Table{}
 	h.Configure([]string{"e"})
 	h.Listed("e", true)
-	h.Heard("e", "one", false, start)
+	h.RecordAnswer("e", "one", false, start)
 	assert.Equal(t, h.State("e", start), health.Leaving)
 	assert.Assert(t, !h.KnownLeaving("e"))
 	h.Listed("e", false)
@@ -112,8 +112,8 @@
 	h.Configure(nil)
 	h.Configure([]string{"old"})
 	h.Configure([]string{"old", "added"})
-	h.Heard("old", "one", false, start)
-	h.Heard("added", "one", false, start)
+	h.RecordAnswer("old", "one", false, start)
+	h.RecordAnswer("added", "one", false, start)
 	assert.Assert(t, !h.RecentlyStarted("old", time.Minute, start))
 	assert.Assert(t, h.RecentlyStarted("added", time.Minute, start))
 	assert.Assert(t, !h.RecentlyStarted("added", time.Minute, start.Add(time.Hour)))
--- a/core/membership/table.go
+++ b/core/membership/table.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// Heard records direct contact with a member. A member that neither the VM list nor gossip has named yet has no known
-// address, and is ignored until one of them names it.
-func (t *Table) Heard(r Update, now time.Time) {
+// RecordContact records direct contact with a member. A member that neither the VM list nor gossip has named yet has
+// no known address, and is ignored until one of them names it.
+func (t *Table) RecordContact(r Update, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.Name == t.self.Name {
@@ -265,7 +265,7 @@
 	FailureDomain string    `json:"failureDomain"`
 	Incarnation   uint64    `json:"incarnation"`
 	State         string    `json:"state"`
-	Heard         time.Time `json:"heard"`
+	LastHeard     time.Time `json:"heard"`
 }
 
 // Peers returns all other members, sorted by name.
@@ -276,7 +276,7 @@
 		m := t.members[name]
 		peers = append(peers, Peer{
 			Name: name, Address: m.Address, FailureDomain: m.FailureDomain, Incarnation: m.Incarnation,
-			State: m.State.String(), Heard: m.lastHeard,
+			State: m.State.String(), LastHeard: m.lastHeard,
 		})
 	}
 	return peers
--- a/core/membership/table_test.go
+++ b/core/membership/table_test.go
@@ -108,7 +108,7 @@
 	assert.Equal(t, len(a.Sweep(start.Add(900*time.Millisecond))), 0)
 	assert.DeepEqual(t, a.Sweep(start.Add(1100*time.Millisecond)), []string{"b"})
 	assert.Equal(t, state(a, "c"), "alive")
-	a.Heard(membership.Update{Name: "b", Incarnation: 2}, start.Add(2*time.Second))
+	a.RecordContact(membership.Update{Name: "b", Incarnation: 2}, start.Add(2*time.Second))
 	assert.Equal(t, state(a, "b"), "alive")
 }
 
--- a/core/ticket/signer.go
+++ b/core/ticket/signer.go
@@ -15,8 +15,8 @@
 	key []byte
 }
 
-// NewSealer returns a Signer with the given secret, which must be the same on all routers.
-func NewSealer(key []byte) *Signer {
+// NewSigner returns a Signer with the given secret, which must be the same on all routers.
+func NewSigner(key []byte) *Signer {
 	return &Signer{key: key}
 }
 
--- a/io/caller/completion.go
+++ b/io/caller/completion.go
@@ -91,7 +91,7 @@
 	if !a.chat.Returning() {
 		return ""
 	}
-	overflowed, ok := s.Spills.Find(a.key)
+	overflowed, ok := s.Overflow.Find(a.key)
 	if !ok {
 		return ""
 	}
@@ -102,12 +102,12 @@
 // anyway, because it ranks first and no other endpoint was announced.
 func (a *completion) announceOverflow(c ledger.Choice, warmEndpoint string) {
 	s := a.x.server
-	_, announced := s.Spills.Find(a.key)
+	_, announced := s.Overflow.Find(a.key)
 	if c.HighestRanked && !announced {
 		return
 	}
 	if c.Endpoint != warmEndpoint || !a.chat.Returning() {
-		s.Spills.Add(a.key, c.Hash, time.Now())
+		s.Overflow.Add(a.key, c.Hash, time.Now())
 	}
 }
 
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -57,7 +57,7 @@
 	Health        *health.Table
 	Policy        placement.Policy
 	Tickets       *ticket.Signer
-	Spills        *overflow.Table
+	Overflow      *overflow.Table
 	Tokens        *tokens.Estimator
 	CacheValue    *tokens.CacheValue
 	Retries       *retrybudget.Budget
--- a/io/claims/partition.go
+++ b/io/claims/partition.go
@@ -55,7 +55,7 @@
 
 func newPartition(l Log, stream string, window, claimTerm time.Duration, logger log.Logger) *partition {
 	p := &partition{
-		log: l, stream: stream, logger: log.With(logger, "stream", stream), claimTerm: claimTerm, table: claim.NewBook(window),
+		log: l, stream: stream, logger: log.With(logger, "stream", stream), claimTerm: claimTerm, table: claim.NewTable(window),
 		changed: make(chan struct{}), abandoned: map[string]claim.Request{}, lastUsed: time.Now(),
 	}
 	p.batch = newBatcher(l, stream, p.applyAppended)
--- a/io/command/entryvm_test.go
+++ b/io/command/entryvm_test.go
@@ -264,7 +264,7 @@
 	f.waitFor("the next hub", func() bool { return f.vms[1].hub.HubName() == "vm1" && f.vms[2].hub.HubName() == "vm1" })
 }
 
-// A leaving endpoint gets no new requests, from routers that read its entry in the store or from those that hear of it
+// A leaving endpoint gets no new requests, from routers that read its entry in the store or from those that learn of it
 // through a hub.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	t.Parallel()
--- a/io/command/status.go
+++ b/io/command/status.go
@@ -54,7 +54,7 @@
 		r.Ready, r.Draining, r.Release.Note, r.Release.Digest, r.Waiting, r.Claims)
 	for _, m := range r.Members {
 		fmt.Fprintf(s.out, "  member %-16s %-8s %s heard %s ago\n", m.Name, m.State, m.Address,
-			time.Since(m.Heard).Round(100*time.Millisecond))
+			time.Since(m.LastHeard).Round(100*time.Millisecond))
 	}
 	for _, e := range r.Endpoints {
 		fmt.Fprintf(s.out, "  endpoint %-16s %-8s %s requests=%.0f tokens=%.0f own=%.0f peers=%.0f reported=%.0f\n", e.Endpoint,
--- a/io/endpoint/client.go
+++ b/io/endpoint/client.go
@@ -27,8 +27,8 @@
 
 // Observer is notified of what each attempt reveals about its endpoint.
 type Observer interface {
-	// Heard is called at the time at, with the load report from the response to a request sent at sentAt.
-	Heard(endpoint string, r report.Report, sentAt, at time.Time)
+	// RecordAnswer is called at the time at, with the load report from the response to a request sent at sentAt.
+	RecordAnswer(endpoint string, r report.Report, sentAt, at time.Time)
 	Failed(endpoint string, f *AttemptError)
 }
 
@@ -135,7 +135,7 @@
 func (c *Client) observe(call Call, resp *http.Response, sentAt time.Time) {
 	r, ok := report.ParseHeader(resp.Header.Get(header.Load))
 	if ok && c.observer != nil {
-		c.observer.Heard(call.Endpoint, r, sentAt, time.Now())
+		c.observer.RecordAnswer(call.Endpoint, r, sentAt, time.Now())
 	}
 }
 
--- a/io/fleet/members_test.go
+++ b/io/fleet/members_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Two routers cannot reach each other, but both reach a third. Neither is marked dead, because the third still hears
-// them.
+// Two routers cannot reach each other, but both reach a third. Neither is marked dead, because the third is still in
+// contact with both.
 func TestPartitionBetweenTwoRoutersMarksNeitherDead(t *testing.T) {
 	f := start(t, fleet.Options{Routers: 3, Engines: 1})
 	a, b := f.Routers()[0], f.Routers()[1]
@@ -101,7 +101,7 @@
 		"platform": "vmListPeriod = \"100ms\"\n",
 	}})
 	f.VMList.Put(vmlist.VM{Name: "engine-01", Role: vmlist.RoleEndpoint})
-	waitFor(t, "engine-01 is heard", func() bool { return healthEverywhere(t, f, health.Up) })
+	waitFor(t, "engine-01 is up everywhere", func() bool { return healthEverywhere(t, f, health.Up) })
 	f.VMList.Put(vmlist.VM{Name: "engine-01", Role: vmlist.RoleEndpoint, Leaving: true})
 	waitFor(t, "engine-01 is leaving everywhere", func() bool { return healthEverywhere(t, f, health.Leaving) })
 	address := f.KillEngine("engine-01")
--- a/io/fleet/tls_test.go
+++ b/io/fleet/tls_test.go
@@ -52,7 +52,7 @@
 		"peers": fastPeers + files + fmt.Sprintf("authority = %q\n", cert), "callers": "lameDuck = \"0s\"\n" + files,
 		"routing": "probePeriod = \"200ms\"\n",
 	}})
-	waitFor(t, "the peers hear each other", func() bool {
+	waitFor(t, "the peers are in contact", func() bool {
 		return memberState(t, f.Routers()[0], "entry-2") == "alive" && status(t, f.Routers()[0]).Members[0].Incarnation > 0
 	})
 	pem, err := os.ReadFile(cert)
--- a/io/hub/columns.go
+++ b/io/hub/columns.go
@@ -29,7 +29,7 @@
 		c.Unread = append(c.Unread, int32(l.PendingPromptTokens))
 		c.Bad = append(c.Bad, l.Failures)
 		c.All = append(c.All, l.Attempts)
-		c.Hidden = append(c.Hidden, l.Unaccounted)
+		c.Hidden = append(c.Hidden, l.Untracked)
 	}
 	return c
 }
@@ -45,7 +45,7 @@
 	for i := range rows {
 		rows[i] = fleetload.Load{
 			Endpoint: c.Endpoints[i], Running: int(c.Running[i]), PendingPromptTokens: int(c.Unread[i]),
-			Failures: c.Bad[i], Attempts: c.All[i], Unaccounted: c.Hidden[i],
+			Failures: c.Bad[i], Attempts: c.All[i], Untracked: c.Hidden[i],
 		}
 	}
 	return rows, nil
--- a/io/peer/agent.go
+++ b/io/peer/agent.go
@@ -49,7 +49,7 @@
 	Configuration  Configuration
 	Prober         Prober
 	Claims         Claims
-	Spills         *overflow.Table
+	Overflow       *overflow.Table
 	Meter          *traffic.Meter
 	Logger         log.Logger
 	TLS            *tls.Config
@@ -210,8 +210,8 @@
 }
 
 // targets returns the peers to call in this period. In a small fleet, the router with the lower name of each pair
-// calls, and the other one only if it has not heard from its peer for one and a half periods. In a large fleet, each
-// router calls a few random peers.
+// calls, and the other one only if it has had no contact with its peer for one and a half periods. In a large fleet,
+// each router calls a few random peers.
 func (a *Agent) targets(now time.Time) (targets []membership.Peer) {
 	peers := a.peers()
 	if len(peers) >= fullMeshSize {
@@ -220,7 +220,7 @@
 	}
 	self := a.Members.Self().Name
 	for _, p := range peers {
-		if self < p.Name || now.Sub(p.Heard) > a.Period*3/2 {
+		if self < p.Name || now.Sub(p.LastHeard) > a.Period*3/2 {
 			targets = append(targets, p)
 		}
 	}
@@ -303,7 +303,7 @@
 	defer a.mu.Unlock()
 	if !a.overBudget || a.round%2 == 0 {
 		m.Shape, m.Load = a.Ledger.Digest()
-		m.Spills, a.overflowCursors[to] = a.Spills.OwnSince(a.overflowCursors[to], maxOverflows)
+		m.Spills, a.overflowCursors[to] = a.Overflow.OwnSince(a.overflowCursors[to], maxOverflows)
 	}
 	a.addMarks(m)
 	a.addFindings(m, to, time.Now())
@@ -314,12 +314,12 @@
 // endpoints.
 func (a *Agent) receive(m *GossipMessage) {
 	now := time.Now()
-	a.Members.Heard(m.Self, now)
+	a.Members.RecordContact(m.Self, now)
 	a.Members.Rumours(m.Rumours, now)
 	if m.Load != nil {
 		a.Ledger.SetPeerLoad(m.Self.Name, m.Shape, m.Load, now)
 	}
-	a.Spills.Merge(m.Spills, now)
+	a.Overflow.Merge(m.Spills, now)
 	for _, mark := range m.Marks {
 		a.receiveMark(mark)
 	}
--- a/io/peer/agent_test.go
+++ b/io/peer/agent_test.go
@@ -63,7 +63,7 @@
 	members := membership.New(membership.Update{Name: name, Incarnation: 1}, time.Minute)
 	a, err := New("127.0.0.1:0", Config{
 		Members: members, Ledger: &ledger.Ledger{}, Health: &health.Table{}, Configuration: &fixedConfiguration{}, Claims: claims,
-		Spills: &overflow.Table{}, Meter: traffic.New(metrics.NewSet()), Logger: log.NewNopLogger(), TLS: cfg,
+		Overflow: &overflow.Table{}, Meter: traffic.New(metrics.NewSet()), Logger: log.NewNopLogger(), TLS: cfg,
 		Period: time.Hour, BytesPerSecond: 1 << 30,
 	})
 	assert.NilError(t, err)
--- a/io/platformlog/client.go
+++ b/io/platformlog/client.go
@@ -43,11 +43,11 @@
 	Records []Record `json:"records"`
 }
 
-// TrimmedError reports that the records from Want on are no longer all retained. First is the oldest that is.
-type TrimmedError struct{ Want, First int64 }
+// TrimmedError reports that the records from Requested on are no longer all retained. First is the oldest that is.
+type TrimmedError struct{ Requested, First int64 }
 
 func (e TrimmedError) Error() string {
-	return fmt.Sprintf("log records before offset %d have been trimmed, want %d", e.First, e.Want)
+	return fmt.Sprintf("log records before offset %d have been trimmed, want %d", e.First, e.Requested)
 }
 
 // Append adds a record. After an error other than a StatusError it is unknown whether the record was added.
@@ -79,7 +79,7 @@
 	}
 	err = c.do(r, &p)
 	if err == nil && from < p.First {
-		err = TrimmedError{Want: from, First: p.First}
+		err = TrimmedError{Requested: from, First: p.First}
 	}
 	return p, err
 }
--- a/io/probe/prober.go
+++ b/io/probe/prober.go
@@ -239,13 +239,13 @@
 	if err != nil {
 		response = report.Report{}
 	}
-	p.Heard(name, response, sentAt, sentAt)
+	p.RecordAnswer(name, response, sentAt, sentAt)
 }
 
-// Heard applies the report from the response to a request sent at sentAt. If the endpoint is considered down, because
-// an attempt has failed in the meantime, a probe determines which of the two is newer.
-func (p *Prober) Heard(name string, r report.Report, sentAt, at time.Time) {
-	restarted := p.health.Heard(name, r.Incarnation, r.Leaving, sentAt)
+// RecordAnswer applies the report from the response to a request sent at sentAt. If the endpoint is considered down,
+// because an attempt has failed in the meantime, a probe determines which of the two is newer.
+func (p *Prober) RecordAnswer(name string, r report.Report, sentAt, at time.Time) {
+	restarted := p.health.RecordAnswer(name, r.Incarnation, r.Leaving, sentAt)
 	if p.health.State(name, at) == health.Down {
 		p.ProbeNow(name)
 	}
--- a/io/probe/prober_test.go
+++ b/io/probe/prober_test.go
@@ -100,7 +100,7 @@
 	sentAt := time.Now()
 	p.Failed("engine-01", connectionRefused)
 	assert.Equal(t, h.State("engine-01", time.Now()), health.Down)
-	p.Heard("engine-01", report.Report{}, sentAt, time.Now())
+	p.RecordAnswer("engine-01", report.Report{}, sentAt, time.Now())
 	waitForState(t, h, health.Up)
 }
 
--- a/io/router/router.go
+++ b/io/router/router.go
@@ -104,7 +104,7 @@
 var incarnationEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // suspicionHalfPeriods is the number of half heartbeat periods for which a silent member is suspected before it counts
-// as dead: long enough to hear from it once more, and short enough to detect a dead member within three periods.
+// as dead: long enough for one more contact, and short enough to detect a dead member within three periods.
 const suspicionHalfPeriods = 3
 
 func (r *Router) buildState() (err error) {
@@ -158,7 +158,7 @@
 	}
 	agent, err := peer.New(s.Peers().Address(), peer.Config{
 		Members: r.members(), Ledger: r.ledger(), Health: r.health(), Configuration: r.follower(), Prober: r.probe(),
-		Claims: r.claims(), Spills: r.overflows(), Meter: r.meter(), Logger: r.logger, TLS: cfg, Period: s.Peers().Period(), BytesPerSecond: s.Peers().BytesPerSecond(),
+		Claims: r.claims(), Overflow: r.overflows(), Meter: r.meter(), Logger: r.logger, TLS: cfg, Period: s.Peers().Period(), BytesPerSecond: s.Peers().BytesPerSecond(),
 	})
 	if err != nil {
 		return err
@@ -222,7 +222,7 @@
 	r.manager.Register(nameEndpoints, endpoint.New(r.probe()))
 	callerServer := caller.New(caller.Config{
 		Configuration: r.follower(), Endpoints: r.endpoints(), Admission: gate, Claims: r.claims(),
-		Ledger: r.ledger(), Health: r.health(), Policy: policy, Tickets: ticket.NewSealer(key), Spills: r.overflows(),
+		Ledger: r.ledger(), Health: r.health(), Policy: policy, Tickets: ticket.NewSigner(key), Overflow: r.overflows(),
 		Tokens: &tokens.Estimator{}, CacheValue: &tokens.CacheValue{}, Retries: retrybudget.NewBudget(s.Limits().RetryRatio()), Decisions: &decision.Log{},
 		Tracer: r.tracing().Tracer(), Metrics: r.metrics(), Logger: r.logger, Callers: s.Callers(),
 		Limits: s.Limits(),
