--- a/core/dispatch/breaker.go
+++ b/core/dispatch/breaker.go
@@ -21,7 +21,7 @@
 type breaker struct {
 	trips     int
 	openUntil time.Time
-	// probing is set while a request finds out whether the endpoint is back.
+	// probing is set while a request is probing whether the endpoint is back.
 	probing bool
 }
 
--- a/core/dispatch/cold.go
+++ b/core/dispatch/cold.go
@@ -19,13 +19,13 @@
 	sentTimes []time.Time
 }
 
-// setRemaining takes how much longer the endpoint reports to be cold. The age of the report is ignored: a warm
-// endpoint that is taken for cold gets a few requests less, a cold one that is taken for warm fails.
+// setRemaining records for how much longer the endpoint reports to be cold. The age of the report is ignored: a warm
+// endpoint that is treated as cold gets a few requests less, but a cold one that is treated as warm fails.
 func (c *warmup) setRemaining(d time.Duration, now time.Time) {
 	c.until = now.Add(d)
 }
 
-// assume takes the endpoint for cold for some time, whatever it reports: its next report may be older than its start.
+// assume treats the endpoint as cold for some time, whatever it reports: its next report may be older than its start.
 func (c *warmup) assume(d time.Duration, now time.Time) { c.assumed = now.Add(d) }
 
 func (c *warmup) cold(now time.Time) bool { return now.Before(c.until) || now.Before(c.assumed) }
--- a/core/dispatch/demand.go
+++ b/core/dispatch/demand.go
@@ -23,10 +23,10 @@
 	minHoldTime = time.Millisecond
 )
 
-// demand is the recent demand for a service, by rank. The zero value has seen nothing.
+// demand is the recent demand for a service, by rank. The zero value is empty.
 type demand struct {
-	levels  [maxRanks]level
-	fadedAt time.Time
+	levels    [maxRanks]level
+	decayedAt time.Time
 	// othersAt is when the demand of the other routers was last reported.
 	othersAt time.Time
 	// holdTime is how many seconds a request holds capacity, averaged over all ranks.
@@ -68,18 +68,18 @@
 // level returns the demand of a rank; the least urgent ranks share one.
 func (m *demand) level(rank int) *level { return &m.levels[min(max(rank, 0), maxRanks-1)] }
 
-func (m *demand) fade(now time.Time) {
-	f := math.Exp2(-float64(now.Sub(m.fadedAt)) / float64(demandHalfLife))
+func (m *demand) decayTo(now time.Time) {
+	f := math.Exp2(-float64(now.Sub(m.decayedAt)) / float64(demandHalfLife))
 	for i := range m.levels {
 		m.levels[i].arrivals *= f
 		m.levels[i].others.Came *= float32(f)
 		m.levels[i].refused *= f
 	}
-	m.fadedAt = now
+	m.decayedAt = now
 }
 
 func (m *demand) recordArrival(rank int, account string, now time.Time) {
-	m.fade(now)
+	m.decayTo(now)
 	l := m.level(rank)
 	l.arrivals++
 	l.shares.Observe(account, now)
@@ -87,7 +87,7 @@
 }
 
 func (m *demand) recordRefusal(rank int, now time.Time) {
-	m.fade(now)
+	m.decayTo(now)
 	m.level(rank).refused++
 	m.level(rank).refusedAt = now
 	m.level(rank).updateFull(now)
@@ -127,7 +127,7 @@
 
 // report returns this router's demand for the other routers, without ranks that have next to none.
 func (m *demand) report(service uint32, now time.Time) (list []fleetload.Demand) {
-	m.fade(now)
+	m.decayTo(now)
 	for rank, l := range m.levels {
 		if l.running > 0 || l.arrivals >= minReportedWeight {
 			list = append(list, fleetload.Demand{Service: service, Rank: rank, Came: float32(l.arrivals), Running: l.running})
@@ -138,7 +138,7 @@
 
 // setOthers sets the demand of the other routers: that of all routers, less what this one reported.
 func (m *demand) setOthers(service uint32, total, own []fleetload.Demand, now time.Time) {
-	m.fade(now)
+	m.decayTo(now)
 	m.othersAt = now
 	for i := range m.levels {
 		m.levels[i].others = fleetload.Demand{}
@@ -166,7 +166,7 @@
 // forecast plans for all routers together: what one of many sees is mostly chance, and extrapolated to the whole fleet
 // it once kept a third of the capacity unused. A router without recent reports plans for its own requests.
 func (m *demand) forecast(rank int, now time.Time) (p forecast) {
-	m.fade(now)
+	m.decayTo(now)
 	ownOnly := now.Sub(m.othersAt) > othersMaxAge
 	meanHold := m.holdTime.lastOr(planningHorizon.Seconds())
 	horizon := min(meanHold, planningHorizon.Seconds())
@@ -201,7 +201,7 @@
 	if now.Sub(m.othersAt) > othersMaxAge {
 		return 0
 	}
-	m.fade(now)
+	m.decayTo(now)
 	var all, others float64
 	for i := range m.levels {
 		others += float64(m.levels[i].others.Came)
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -134,7 +134,7 @@
 		return nil, ReasonNoEndpoint
 	}
 	if len(q.Tried) > 0 {
-		// A request that was admitted once goes on: it has used capacity already, and its client has waited.
+		// A retry may take reserved capacity: the request has used capacity already, and its client has waited.
 		return c.beginCheapest()
 	}
 	m := d.demand(q.Service)
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -136,7 +136,7 @@
 
 // failureRate returns the share of recent attempts that failed, of this router and the others.
 func (e *endpoint) failureRate(now time.Time) float64 {
-	e.failures.fade(now)
+	e.failures.decayTo(now)
 	bad, all := e.failures.bad, e.failures.all
 	if now.Sub(e.othersReportAt) <= othersMaxAge {
 		bad += float64(e.othersReport.Failures)
@@ -160,8 +160,8 @@
 	priorSuccesses = 2.0
 )
 
-func (c *decayingRatio) fade(now time.Time) {
-	if c.all > minFadedWeight {
+func (c *decayingRatio) decayTo(now time.Time) {
+	if c.all > minDecayedWeight {
 		f := decay(now.Sub(c.at))
 		c.bad *= f
 		c.all *= f
@@ -169,21 +169,21 @@
 	c.at = now
 }
 
-// minFadedWeight is the weight below which attempts are not decayed further, which spares the exponential for most
+// minDecayedWeight is the weight below which attempts are not decayed further, which spares the exponential for most
 // endpoints.
-const minFadedWeight = 1e-3
+const minDecayedWeight = 1e-3
 
 // decay returns the remaining weight of an observation of that age.
 func decay(age time.Duration) float64 { return math.Exp2(-float64(age) / float64(failureHalfLife)) }
 
 func (c *decayingRatio) add(bad, all float64, now time.Time) {
-	c.fade(now)
+	c.decayTo(now)
 	c.bad += bad
 	c.all += all
 }
 
 // decayingMean is an exponentially weighted mean that decays with time towards a default: an endpoint that was found
-// slow gets no requests, so only time can show that it has recovered. The zero value has seen nothing.
+// slow gets no requests, so only time can show that it has recovered. The zero value is empty.
 type decayingMean struct {
 	value float64
 	at    time.Time
--- a/core/dispatch/exchange.go
+++ b/core/dispatch/exchange.go
@@ -12,7 +12,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.byID {
-		e.failures.fade(now)
+		e.failures.decayTo(now)
 		untracked := e.ownUntracked(now)
 		if e.running == 0 && e.failures.all < minReportedWeight && untracked < minReportedWeight {
 			continue
--- a/core/dispatch/exchange_test.go
+++ b/core/dispatch/exchange_test.go
@@ -33,7 +33,7 @@
 
 const (
 	reportInterval = 300 * time.Millisecond
-	// Most streams are short, and a third of them are long: an engine empties and fills within a few reports.
+	// Two thirds of the streams are short and a third long: an engine empties and fills within a few reports.
 	shortStream = 150 * time.Millisecond
 	longStream  = 2 * time.Second
 )
--- a/core/dispatch/scoring.go
+++ b/core/dispatch/scoring.go
@@ -187,21 +187,21 @@
 	// users' bound of twice the mean and three requests, because the loads are estimates that lag.
 	loadBoundFactor = 1.7
 	loadBoundSlack  = 3.0
-	// minRoomShare is the share of the room between the mean and the bound that every prompt may use. The limit of
-	// each prompt differs, so that prompts leave a filling endpoint one after the other: when all left and came back
-	// at the same load, an endpoint just below it was sent twice its bound before any router saw it fill.
-	minRoomShare = 0.6
+	// minHeadroomShare is the share of the headroom between the mean and the bound that every prompt may use. The
+	// limit of each prompt differs, so that prompts leave a filling endpoint one after the other: when all left and
+	// came back at the same load, an endpoint just below it was sent twice its bound before any router saw it fill.
+	minHeadroomShare = 0.6
 )
 
 // overBound reports whether the endpoint is to be avoided while others are below the bound. The users' bound applies
-// to the mean of all running endpoints. While many of them are draining, it comes near to the mean of the pool, and a
-// bound below that mean gains nothing.
+// to the mean of all running endpoints. While many of them are draining, it is close to the mean of the pool or below
+// it, and a bound below that mean gains nothing.
 func (c *scoring) overBound(i int) bool {
-	room := max(loadBoundFactor*c.meanWithDraining, c.meanLoad) + loadBoundSlack - c.meanLoad
+	headroom := max(loadBoundFactor*c.meanWithDraining, c.meanLoad) + loadBoundSlack - c.meanLoad
 	if c.engine && len(c.q.Prompt) > 0 {
-		room *= minRoomShare + (1-minRoomShare)*unitFraction(hashmix.Mix(c.q.Prompt.RoutingKey())^c.pool[i].hash)
+		headroom *= minHeadroomShare + (1-minHeadroomShare)*unitFraction(hashmix.Mix(c.q.Prompt.RoutingKey())^c.pool[i].hash)
 	}
-	return c.loads[i]+1 > c.meanLoad+room
+	return c.loads[i]+1 > c.meanLoad+headroom
 }
 
 // best returns the endpoint of lowest cost among those that are not saturated, or among all when too few are left.
--- a/core/dispatch/surge_test.go
+++ b/core/dispatch/surge_test.go
@@ -307,9 +307,9 @@
 	assert.Assert(t, s.worstShare() <= 0.03, "%.3f", s.worstShare())
 }
 
-// A router does a call in 15 ms and has none for a while. The others have so many urgent ones that these take half of
-// the slots at any time. The router forgot the hold time of a call, planned for 600 ms, in which forty times as many
-// calls come, and refused all less urgent calls.
+// Calls take 15 ms, and this router has had none for a while. The other routers have so many urgent ones that these
+// take half of the slots at any time. The router used to forget the hold time of a call and planned for 600 ms, in
+// which forty times as many calls come, so it refused all less urgent calls.
 func TestHoldTimeIsKeptWhileIdle(t *testing.T) {
 	d, _ := newDispatcher(4)
 	a := choose(t, d, dispatch.Query{Service: plain, Rank: 1}, start)
@@ -320,9 +320,9 @@
 	choose(t, d, dispatch.Query{Service: plain, Rank: 1}, now)
 }
 
-// Full servers refuse calls at once. These counted as calls with no hold time at all, so that every router took the
-// service for one with free capacity and admitted everything. Three times as many urgent calls come as can be done:
-// less urgent ones must still be refused.
+// Full servers refuse calls at once. These counted as calls with no hold time at all, so that every router
+// assumed free capacity and admitted everything. Three times as many urgent calls come as can be done: less urgent
+// ones must still be refused.
 func TestRefusalsDoNotCountAsShortCalls(t *testing.T) {
 	d, _ := newDispatcher(4)
 	now := start
