--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -44,8 +44,8 @@
 	assert.Assert(t, d.Put(moved))
 }
 
-// A leaving endpoint must get no new requests because of a heartbeat that was sent before its leaving mark and
-// arrives after it.
+// A heartbeat that was sent before the leaving mark of an endpoint and arrives after it must not make the endpoint
+// usable again.
 func TestLeavingIsPermanentForAProcess(t *testing.T) {
 	var d directory.Directory
 	d.Put(entry("a", 1, 5))
--- a/core/readrotation/rotation.go
+++ b/core/readrotation/rotation.go
@@ -48,7 +48,7 @@
 
 // Hub is the state of the hub's own reads from the store.
 type Hub struct {
-	// Failing is set when the hub needs to read and cannot; Starving is set when its data is also becoming stale.
+	// Failing is set when the hub needs to read and cannot; Stale is set when its data is also becoming stale.
 	Failing, Stale bool
 }
 
--- a/core/report/report.go
+++ b/core/report/report.go
@@ -27,7 +27,7 @@
 
 const headerFormat = "incarnation=%s ageMs=%d running=%d waiting=%d tokens=%d leaving=%t"
 
-// Header returns the report as the value of the header Savoryfall-Load, which omits what is loaded.
+// Header returns the report as the value of the header Savoryfall-Load, which omits the loaded versions.
 func (r Report) Header() string {
 	return fmt.Sprintf(headerFormat, r.Incarnation, r.AgeMs, r.Running, r.Waiting, r.Tokens, r.Leaving)
 }
