--- a/core/fairness/shares_test.go
+++ b/core/fairness/shares_test.go
@@ -60,7 +60,7 @@
 
 // The sum of the demands used to be taken in map order, so its last digit, and with it the probability, varied between
 // calls. A run could then end differently in spite of the same input and the same random numbers.
-func TestSameRequestsGiveTheSameChance(t *testing.T) {
+func TestSameRequestsGiveTheSameProbability(t *testing.T) {
 	var s fairness.Shares
 	later := start
 	for i := range 60 {
@@ -86,12 +86,12 @@
 		fraction := rapid.Float64Range(0.01, 0.99).Draw(t, "fraction")
 		total, admitted := 0.0, 0.0
 		for account, n := range requests {
-			chance := s.AdmitProbability(account, fraction, start)
-			assert.Assert(t, chance > 0 && chance <= 1)
+			probability := s.AdmitProbability(account, fraction, start)
+			assert.Assert(t, probability > 0 && probability <= 1)
 			total += float64(n)
-			admitted += chance * float64(n)
+			admitted += probability * float64(n)
 			for other, m := range requests {
-				assert.Assert(t, m >= n || s.AdmitProbability(other, fraction, start) >= chance-1e-9)
+				assert.Assert(t, m >= n || s.AdmitProbability(other, fraction, start) >= probability-1e-9)
 			}
 		}
 		assert.Assert(t, admitted > fraction*total-1e-6 && admitted < fraction*total+1e-6, "%v of %v", admitted, fraction*total)
--- a/core/retryafter/delay.go
+++ b/core/retryafter/delay.go
@@ -17,8 +17,8 @@
 )
 
 // Delay returns the delay after which to retry at a service that has been full for the given time. How long an
-// overload still lasts is not known; the best guess is as long as it has lasted. A client that retries during the same
-// overload is refused for the last time, because clients try only a few times. Early in an overload the delay is short
+// overload will still last is not known; the best estimate is as long as it has lasted. Clients try only a few times, so
+// a client that retries during the same overload often has no attempt left. Early in an overload the delay is short
 // enough to serve the client on time, in case the overload is short. draw is a uniform random number in [0, 1).
 func Delay(full, goal, left time.Duration, draw float64) time.Duration {
 	delay := max(full, time.Duration(goalFraction*float64(goal)), minDelay)
--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -11,9 +11,9 @@
 }
 
 const (
-	// initialTokens lets a pool with little traffic move the streams of one engine that dies.
+	// initialTokens lets a pool with little traffic move the streams of one engine that fails.
 	initialTokens = 20
-	// maxTokens bounds how many retries a long calm period can save up.
+	// maxTokens bounds how many retries can accumulate while hardly any are needed.
 	maxTokens = 500
 )
 
--- a/core/rollout/plan_test.go
+++ b/core/rollout/plan_test.go
@@ -56,7 +56,7 @@
 }
 
 // With a single load available, the version with the fewest replicas is loaded first.
-func TestMostWantedFirst(t *testing.T) {
+func TestVersionWithFewestReplicasLoadsFirst(t *testing.T) {
 	list := engines(3, "m@a")
 	list[0].Loaded = []string{"m@a", "m@b"}
 	planned := rollout.Plan([]rollout.WantedVersion{{Model: "m", Name: "a"}, {Model: "m", Name: "b"}, {Model: "m", Name: "c"}}, list, 1)
--- a/core/sse/splitter_test.go
+++ b/core/sse/splitter_test.go
@@ -31,12 +31,12 @@
 	assert.Assert(t, partial)
 }
 
-func TestIDsThatAreNone(t *testing.T) {
+func TestInvalidIDsAreIgnored(t *testing.T) {
 	_, ids, _ := splitAll(t, "data: id: 5\n\nid: x\n\nid:\n\n: id: 7\n\n")
 	assert.Equal(t, len(ids), 0)
 }
 
-func TestEndlessEventIsGivenUp(t *testing.T) {
+func TestOversizedEventIsRejected(t *testing.T) {
 	var s sse.Splitter
 	ok := true
 	for range sse.MaxEvent/1000 + 2 {
