--- a/core/dispatch/baseline_test.go
+++ b/core/dispatch/baseline_test.go
@@ -40,17 +40,17 @@
 )
 
 func newWorkload() *workload {
-	h := &workload{random: rand.New(rand.NewPCG(1, 2))}
+	w := &workload{random: rand.New(rand.NewPCG(1, 2))}
 	for i := range workloadEngines {
-		h.engines = append(h.engines, &engine{id: fmt.Sprint("models", i)})
+		w.engines = append(w.engines, &engine{id: fmt.Sprint("models", i)})
 	}
-	return h
+	return w
 }
 
 // chooser sends a request to an engine and returns a function to call when it has ended.
 type chooser func(chain prompt.Chain, now time.Time) (id string, ended func(now time.Time))
 
-func (h *workload) run(choose chooser) {
+func (w *workload) run(choose chooser) {
 	type open struct {
 		e     *engine
 		at    time.Time
@@ -70,25 +70,25 @@
 			o.ended(now)
 		}
 		running = kept
-		doc := uint64(float64(workloadDocuments) * math.Pow(h.random.Float64(), 1.5))
+		doc := uint64(float64(workloadDocuments) * math.Pow(w.random.Float64(), 1.5))
 		if n > workloadRequests/3 && n < workloadRequests/2 && n%2 == 0 {
 			doc = 7
 		}
 		chain := document(doc, uint64(n))
 		id, ended := choose(chain, now)
-		e := h.engine(id)
+		e := w.engine(id)
 		if float64(e.running) > 2*float64(len(running))/workloadEngines+3 {
-			h.beyondBound++
+			w.beyondBound++
 		}
-		h.tokensRead += chain.Tokens() - e.cache.CachedTokens(chain)
+		w.tokensRead += chain.Tokens() - e.cache.CachedTokens(chain)
 		e.cache.Read(chain, workloadCache)
 		e.running++
-		running = append(running, open{e: e, at: now.Add(time.Duration(200+h.random.IntN(2600)) * time.Millisecond), ended: ended})
+		running = append(running, open{e: e, at: now.Add(time.Duration(200+w.random.IntN(2600)) * time.Millisecond), ended: ended})
 	}
 }
 
-func (h *workload) engine(id string) *engine {
-	for _, e := range h.engines {
+func (w *workload) engine(id string) *engine {
+	for _, e := range w.engines {
 		if e.id == id {
 			return e
 		}
--- a/core/dispatch/caches_test.go
+++ b/core/dispatch/caches_test.go
@@ -43,37 +43,37 @@
 	return l
 }
 
-func (l *cacheFleet) generate(d time.Duration) {
-	for until := l.now.Add(d); l.now.Before(until); {
-		l.now = l.now.Add(requestInterval)
-		l.endDue()
-		l.exchangeReports()
-		l.n++
-		chain := document(uint64(l.n*31%cacheDocuments), uint64(l.n))
-		a := choose(l.t, l.routers[l.n*7919%len(l.routers)], dispatch.Query{Service: models, Prompt: chain}, l.now)
-		l.read(a, chain)
-		l.running[a.Endpoint().ID]++
-		l.total++
-		l.open = append(l.open, open{attempt: a, ends: l.now.Add(shortStream), n: l.n})
+func (f *cacheFleet) generate(d time.Duration) {
+	for until := f.now.Add(d); f.now.Before(until); {
+		f.now = f.now.Add(requestInterval)
+		f.endDue()
+		f.exchangeReports()
+		f.n++
+		chain := document(uint64(f.n*31%cacheDocuments), uint64(f.n))
+		a := choose(f.t, f.routers[f.n*7919%len(f.routers)], dispatch.Query{Service: models, Prompt: chain}, f.now)
+		f.read(a, chain)
+		f.running[a.Endpoint().ID]++
+		f.total++
+		f.open = append(f.open, open{attempt: a, ends: f.now.Add(shortStream), n: f.n})
 	}
 }
 
 // read has the engine fetch what the request names, and read what it still lacks.
-func (l *cacheFleet) read(a *dispatch.Attempt, chain prompt.Chain) {
-	own, source := l.cached[a.Endpoint().ID], l.cached[l.addresses[a.FetchSource()]]
+func (f *cacheFleet) read(a *dispatch.Attempt, chain prompt.Chain) {
+	own, source := f.cached[a.Endpoint().ID], f.cached[f.addresses[a.FetchSource()]]
 	for i, p := range chain {
 		_, has := own[p.ID]
 		_, fetched := source[p.ID]
-		if !has && !fetched && i < len(chain)-1 && l.cachedAnywhere(p.ID) {
-			l.rereadTokens += p.Tokens
+		if !has && !fetched && i < len(chain)-1 && f.cachedAnywhere(p.ID) {
+			f.rereadTokens += p.Tokens
 		}
 		own[p.ID] = p.Tokens
 	}
-	a.RecordFirstBytes(dispatch.Load{}, l.now)
+	a.RecordFirstBytes(dispatch.Load{}, f.now)
 }
 
-func (l *cacheFleet) cachedAnywhere(part uint64) bool {
-	for _, parts := range l.cached {
+func (f *cacheFleet) cachedAnywhere(part uint64) bool {
+	for _, parts := range f.cached {
 		if _, has := parts[part]; has {
 			return true
 		}
@@ -82,9 +82,9 @@
 }
 
 // updateAll gives all routers the directory's entries.
-func (l *cacheFleet) updateAll(entries []directory.Entry) {
-	for _, d := range l.routers {
-		d.Update(entries, l.now)
+func (f *cacheFleet) updateAll(entries []directory.Entry) {
+	for _, d := range f.routers {
+		d.Update(entries, f.now)
 	}
 }
 
--- a/core/dispatch/cold.go
+++ b/core/dispatch/cold.go
@@ -21,33 +21,33 @@
 
 // setRemaining records for how much longer the endpoint reports to be cold. The age of the report is ignored: a warm
 // endpoint that is treated as cold gets a few requests less, but a cold one that is treated as warm fails.
-func (c *warmup) setRemaining(d time.Duration, now time.Time) {
-	c.until = now.Add(d)
+func (w *warmup) setRemaining(d time.Duration, now time.Time) {
+	w.until = now.Add(d)
 }
 
 // assume treats the endpoint as cold for some time, whatever it reports: its next report may be older than its start.
-func (c *warmup) assume(d time.Duration, now time.Time) { c.assumed = now.Add(d) }
+func (w *warmup) assume(d time.Duration, now time.Time) { w.assumed = now.Add(d) }
 
-func (c *warmup) cold(now time.Time) bool { return now.Before(c.until) || now.Before(c.assumed) }
+func (w *warmup) cold(now time.Time) bool { return now.Before(w.until) || now.Before(w.assumed) }
 
 // countRequest counts a request. Those sent before an endpoint turns out to be cold count too.
-func (c *warmup) countRequest(now time.Time) {
-	c.dropOld(now)
-	c.sentTimes = append(c.sentTimes, now)
+func (w *warmup) countRequest(now time.Time) {
+	w.dropOld(now)
+	w.sentTimes = append(w.sentTimes, now)
 }
 
-func (c *warmup) dropOld(now time.Time) {
+func (w *warmup) dropOld(now time.Time) {
 	old := 0
-	for old < len(c.sentTimes) && now.Sub(c.sentTimes[old]) >= coldWindow {
+	for old < len(w.sentTimes) && now.Sub(w.sentTimes[old]) >= coldWindow {
 		old++
 	}
-	c.sentTimes = slices.Delete(c.sentTimes, 0, old)
+	w.sentTimes = slices.Delete(w.sentTimes, 0, old)
 }
 
 // recentRequests returns how many requests are in the window.
-func (c *warmup) recentRequests(now time.Time) int {
-	c.dropOld(now)
-	return len(c.sentTimes)
+func (w *warmup) recentRequests(now time.Time) int {
+	w.dropOld(now)
+	return len(w.sentTimes)
 }
 
 // SetColdBound sets how far beyond their rate cold endpoints may be sent requests.
--- a/core/dispatch/demand.go
+++ b/core/dispatch/demand.go
@@ -165,7 +165,7 @@
 
 // forecast plans for all routers together: what one of many sees is mostly chance, and extrapolated to the whole fleet
 // it once kept a third of the capacity unused. A router without recent reports plans for its own requests.
-func (m *demand) forecast(rank int, now time.Time) (p forecast) {
+func (m *demand) forecast(rank int, now time.Time) (f forecast) {
 	m.decayTo(now)
 	ownOnly := now.Sub(m.othersAt) > othersMaxAge
 	meanHold := m.holdTime.lastOr(planningHorizon.Seconds())
@@ -173,15 +173,15 @@
 	for i := range m.levels {
 		perSecond, running := m.levels[i].totals(ownOnly)
 		holdTime := max(m.levels[i].holdTime.lastOr(meanHold), horizon)
-		p.released += running * horizon / holdTime
+		f.released += running * horizon / holdTime
 		switch {
 		case i < min(rank, maxRanks-1):
-			p.moreUrgent += perSecond * horizon
+			f.moreUrgent += perSecond * horizon
 		case i == min(rank, maxRanks-1):
-			p.sameRank = perSecond * horizon
+			f.sameRank = perSecond * horizon
 		}
 	}
-	return p
+	return f
 }
 
 // totals returns the requests a second and those that hold capacity, of this router and, unless ownOnly is set, of the
--- a/core/dispatch/exchange_test.go
+++ b/core/dispatch/exchange_test.go
@@ -33,7 +33,8 @@
 
 const (
 	reportInterval = 300 * time.Millisecond
-	// Two thirds of the streams are short and a third long: an engine empties and fills within a few reports.
+	// shortStream and longStream are the durations of two thirds and one third of the streams: an engine
+	// empties and fills within a few reports.
 	shortStream = 150 * time.Millisecond
 	longStream  = 2 * time.Second
 )
@@ -50,61 +51,61 @@
 
 // run sends requests at a steady rate, each through the next router, and counts those that met an engine beyond the
 // users' bound of twice the mean and three requests.
-func (c *routerFleet) run(requests, perSecond, engines int) (beyondBound int) {
+func (f *routerFleet) run(requests, perSecond, engines int) (beyondBound int) {
 	for n := range requests {
-		c.now = c.now.Add(time.Second / time.Duration(perSecond))
-		c.endDue()
-		c.exchangeReports()
+		f.now = f.now.Add(time.Second / time.Duration(perSecond))
+		f.endDue()
+		f.exchangeReports()
 		// The stride is coprime to the number of routers, so that they do not take turns in a simple order.
-		d := c.routers[n*7919%len(c.routers)]
-		a := choose(c.t, d, dispatch.Query{Service: models, Prompt: document(uint64(n*31%400), uint64(n))}, c.now)
+		d := f.routers[n*7919%len(f.routers)]
+		a := choose(f.t, d, dispatch.Query{Service: models, Prompt: document(uint64(n*31%400), uint64(n))}, f.now)
 		id := a.Endpoint().ID
-		if n > requests/4 && float64(c.running[id]) > 2*float64(c.total)/float64(engines)+3 {
+		if n > requests/4 && float64(f.running[id]) > 2*float64(f.total)/float64(engines)+3 {
 			beyondBound++
 		}
-		c.running[id]++
-		c.total++
-		ends := c.now.Add(shortStream)
+		f.running[id]++
+		f.total++
+		ends := f.now.Add(shortStream)
 		if n%3 == 0 {
-			ends = c.now.Add(longStream)
+			ends = f.now.Add(longStream)
 		}
-		c.open = append(c.open, open{attempt: a, ends: ends, n: n})
+		f.open = append(f.open, open{attempt: a, ends: ends, n: n})
 	}
 	return beyondBound
 }
 
-func (c *routerFleet) endDue() {
-	kept := c.open[:0]
-	for _, o := range c.open {
-		if o.ends.After(c.now) {
+func (f *routerFleet) endDue() {
+	kept := f.open[:0]
+	for _, o := range f.open {
+		if o.ends.After(f.now) {
 			kept = append(kept, o)
 			continue
 		}
 		id := o.attempt.Endpoint().ID
-		c.running[id]--
-		c.total--
+		f.running[id]--
+		f.total--
 		v := dispatch.Served
-		if c.losesAnswer(id, o.n) {
+		if f.losesAnswer(id, o.n) {
 			v = dispatch.Broken
 		}
-		o.attempt.End(v, c.now)
+		o.attempt.End(v, f.now)
 	}
-	c.open = kept
+	f.open = kept
 }
 
 // exchangeReports lets the routers report to the hub and receive its response in turn, so that each does so every
 // reportInterval.
-func (c *routerFleet) exchangeReports() {
-	for i, d := range c.routers {
-		due := c.now.Sub(start) / (reportInterval / time.Duration(len(c.routers)))
-		if int(due)%len(c.routers) != i {
+func (f *routerFleet) exchangeReports() {
+	for i, d := range f.routers {
+		due := f.now.Sub(start) / (reportInterval / time.Duration(len(f.routers)))
+		if int(due)%len(f.routers) != i {
 			continue
 		}
-		own := d.OwnWorkload(c.now)
-		c.aggregator.AddReport(fmt.Sprint(i), own, d.TakeReads(), c.now)
-		total, _ := c.aggregator.Totals(c.now)
-		d.SetFleetWorkload(total, own, c.now)
-		reads, _ := c.aggregator.ReadsSince(0)
+		own := d.OwnWorkload(f.now)
+		f.aggregator.AddReport(fmt.Sprint(i), own, d.TakeReads(), f.now)
+		total, _ := f.aggregator.Totals(f.now)
+		d.SetFleetWorkload(total, own, f.now)
+		reads, _ := f.aggregator.ReadsSince(0)
 		d.RecordReads(reads)
 	}
 }
@@ -130,26 +131,26 @@
 
 // runRanked sends requests at a steady rate, one in four of them urgent and long, and counts the refused ones of each
 // rank.
-func (c *routerFleet) runRanked(requests, perSecond int) (refused [2]int) {
+func (f *routerFleet) runRanked(requests, perSecond int) (refused [2]int) {
 	for n := range requests {
-		c.now = c.now.Add(time.Second / time.Duration(perSecond))
-		c.endDue()
-		c.exchangeReports()
+		f.now = f.now.Add(time.Second / time.Duration(perSecond))
+		f.endDue()
+		f.exchangeReports()
 		rank, held := 1, time.Second
 		if n%4 == 0 {
 			rank, held = 0, longStream
 		}
-		d := c.routers[n*7919%len(c.routers)]
+		d := f.routers[n*7919%len(f.routers)]
 		q := dispatch.Query{Service: models, Rank: rank, Prompt: document(uint64(n*31%400), uint64(n))}
-		a, _ := d.Choose(q, c.now)
+		a, _ := d.Choose(q, f.now)
 		if a == nil {
 			refused[rank]++
 			continue
 		}
-		c.running[a.Endpoint().ID]++
-		c.total++
-		a.RecordFirstBytes(dispatch.Load{}, c.now)
-		c.open = append(c.open, open{attempt: a, ends: c.now.Add(held), n: n})
+		f.running[a.Endpoint().ID]++
+		f.total++
+		a.RecordFirstBytes(dispatch.Load{}, f.now)
+		f.open = append(f.open, open{attempt: a, ends: f.now.Add(held), n: n})
 	}
 	return refused
 }
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -29,24 +29,24 @@
 type counts struct{ urgent, others, urgentRefused, othersRefused int }
 
 // run sends requests at a rate for some time, one in four of them urgent.
-func (c *rankedLoad) run(perSecond int, d time.Duration) (n counts) {
-	for end := c.now.Add(d); c.now.Before(end); c.n++ {
-		c.now = c.now.Add(time.Second / time.Duration(perSecond))
-		for len(c.running) > 0 && !c.now.Before(c.running[0].until) {
-			c.running[0].a.End(dispatch.Served, c.now)
-			c.running = c.running[1:]
+func (l *rankedLoad) run(perSecond int, d time.Duration) (n counts) {
+	for end := l.now.Add(d); l.now.Before(end); l.n++ {
+		l.now = l.now.Add(time.Second / time.Duration(perSecond))
+		for len(l.running) > 0 && !l.now.Before(l.running[0].until) {
+			l.running[0].a.End(dispatch.Served, l.now)
+			l.running = l.running[1:]
 		}
-		q := dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: c.n, Tokens: 300}}}
-		if c.n%4 != 0 {
+		q := dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: l.n, Tokens: 300}}}
+		if l.n%4 != 0 {
 			q.Rank = 1
 		}
-		a, why := c.d.Choose(q, c.now)
+		a, why := l.d.Choose(q, l.now)
 		if a != nil {
-			c.running = append(c.running, running{a: a, until: c.now.Add(time.Second)})
+			l.running = append(l.running, running{a: a, until: l.now.Add(time.Second)})
 		}
 		switch {
 		case a == nil && q.Rank == 0:
-			assert.Equal(c.t, why, dispatch.ReasonAllFull)
+			assert.Equal(l.t, why, dispatch.ReasonAllFull)
 			n.urgentRefused++
 		case a == nil:
 			n.othersRefused++
--- a/core/dispatch/scoring.go
+++ b/core/dispatch/scoring.go
@@ -277,7 +277,8 @@
 	// decides and not the load, as long as that is near the mean: loads are some hundred milliseconds old, and an
 	// engine that all routers saw empty at once was sent six times its share before any saw it fill.
 	rankCostMs = 20.0
-	// A load of up to evenLoadFactor times the mean, plus evenLoadSlack requests, counts as even.
+	// evenLoadFactor and evenLoadSlack limit what counts as an even load: the factor times the mean, plus the slack in
+	// requests.
 	evenLoadFactor = 1.2
 	evenLoadSlack  = 1.0
 	// defaultLatencyMs is the latency of a plain answer until one is known.
