--- a/core/activeconfig/check.go
+++ b/core/activeconfig/check.go
@@ -83,9 +83,9 @@
 	put       map[string]bool
 }
 
-func (r nextItems) inForce(kind, name string) bool {
+func (n nextItems) inForce(kind, name string) bool {
 	key := kind + "/" + name
-	return r.put[key] || r.c.inForce(key) && !r.withdrawn[key]
+	return n.put[key] || n.c.inForce(key) && !n.withdrawn[key]
 }
 
 func (c *Configuration) checkReferences(n *releasenote.Note) string {
@@ -108,55 +108,55 @@
 	return next.checkDangling()
 }
 
-func (r nextItems) checkItem(i releasenote.Item) string {
+func (n nextItems) checkItem(i releasenote.Item) string {
 	switch i.Kind() {
 	case releasenote.KindEndpoints:
-		return r.checkEndpoint(endpoint.Read(i.Table()))
+		return n.checkEndpoint(endpoint.Read(i.Table()))
 	case releasenote.KindVersions, releasenote.KindAdapters:
-		if v := version.Read(i.Table()); !r.inForce(releasenote.KindModels, v.Model()) {
+		if v := version.Read(i.Table()); !n.inForce(releasenote.KindModels, v.Model()) {
 			return fmt.Sprintf("%s is of the model %q, which is not in force", i.Key(), v.Model())
 		}
 	case releasenote.KindAccounts:
 		a := account.Read(i.Table())
-		if other, taken := r.c.accounts[a.KeyDigest()]; taken && other.Name() != a.Name() {
+		if other, taken := n.c.accounts[a.KeyDigest()]; taken && other.Name() != a.Name() {
 			return fmt.Sprintf("%s has the key of account %q", i.Key(), other.Name())
 		}
 	}
 	return ""
 }
 
-func (r nextItems) checkEndpoint(e endpoint.Endpoint) string {
+func (n nextItems) checkEndpoint(e endpoint.Endpoint) string {
 	for _, m := range e.Models() {
-		if !r.inForce(releasenote.KindModels, m) {
+		if !n.inForce(releasenote.KindModels, m) {
 			return fmt.Sprintf("endpoint %q serves the model %q, which is not in force", e.Name(), m)
 		}
 	}
-	if e.Service() != "" && !r.inForce(releasenote.KindServices, e.Service()) {
+	if e.Service() != "" && !n.inForce(releasenote.KindServices, e.Service()) {
 		return fmt.Sprintf("endpoint %q belongs to the service %q, which is not in force", e.Name(), e.Service())
 	}
-	other, taken := r.c.nameByAddress[e.Address()]
-	if taken && other != e.Name() && !r.withdrawn[releasenote.KindEndpoints+"/"+other] {
+	other, taken := n.c.nameByAddress[e.Address()]
+	if taken && other != e.Name() && !n.withdrawn[releasenote.KindEndpoints+"/"+other] {
 		return fmt.Sprintf("endpoint %q has the address %s of endpoint %q", e.Name(), e.Address(), other)
 	}
 	return ""
 }
 
 // checkDangling refuses to withdraw a model or service that a remaining endpoint refers to.
-func (r nextItems) checkDangling() string {
-	if len(r.withdrawn) == 0 {
+func (n nextItems) checkDangling() string {
+	if len(n.withdrawn) == 0 {
 		return ""
 	}
-	for _, e := range r.c.endpoints {
+	for _, e := range n.c.endpoints {
 		key := releasenote.KindEndpoints + "/" + e.Name()
-		if r.withdrawn[key] || r.put[key] {
+		if n.withdrawn[key] || n.put[key] {
 			continue
 		}
 		for _, m := range e.Models() {
-			if r.withdrawn[releasenote.KindModels+"/"+m] {
+			if n.withdrawn[releasenote.KindModels+"/"+m] {
 				return fmt.Sprintf("models/%s is withdrawn, but endpoint %q serves it", m, e.Name())
 			}
 		}
-		if r.withdrawn[releasenote.KindServices+"/"+e.Service()] {
+		if n.withdrawn[releasenote.KindServices+"/"+e.Service()] {
 			return fmt.Sprintf("services/%s is withdrawn, but endpoint %q belongs to it", e.Service(), e.Name())
 		}
 	}
--- a/core/activeconfig/snapshot.go
+++ b/core/activeconfig/snapshot.go
@@ -123,31 +123,31 @@
 }
 
 // Add processes the next record of the stream. Records that are not part of a valid snapshot are ignored.
-func (r *SnapshotAssembler) Add(data []byte) {
+func (a *SnapshotAssembler) Add(data []byte) {
 	var envelope record
 	var p snapshotPart
 	if json.Unmarshal(data, &envelope) != nil || envelope.Kind != recordSnapshot || json.Unmarshal(envelope.Snapshot, &p) != nil {
 		return
 	}
-	if r.parts == nil {
-		r.parts = map[string][][]byte{}
+	if a.parts == nil {
+		a.parts = map[string][][]byte{}
 	}
-	if p.Part != len(r.parts[p.ID]) {
+	if p.Part != len(a.parts[p.ID]) {
 		return
 	}
-	r.parts[p.ID] = append(r.parts[p.ID], p.Data)
-	if len(r.parts[p.ID]) < p.Parts {
+	a.parts[p.ID] = append(a.parts[p.ID], p.Data)
+	if len(a.parts[p.ID]) < p.Parts {
 		return
 	}
-	c, err := Restore(slices.Concat(r.parts[p.ID]...))
-	delete(r.parts, p.ID)
-	if err == nil && (r.newest == nil || c.next > r.newest.next) {
-		r.newest = c
+	c, err := Restore(slices.Concat(a.parts[p.ID]...))
+	delete(a.parts, p.ID)
+	if err == nil && (a.newest == nil || c.next > a.newest.next) {
+		a.newest = c
 	}
 }
 
 // Newest returns the newest configuration found so far, or nil.
-func (r *SnapshotAssembler) Newest() *Configuration { return r.newest }
+func (a *SnapshotAssembler) Newest() *Configuration { return a.newest }
 
 // IsSnapshotPart reports whether the record is part of a snapshot.
 func IsSnapshotPart(data []byte) bool {
--- a/core/coldlimit/fleet_test.go
+++ b/core/coldlimit/fleet_test.go
@@ -95,23 +95,23 @@
 }
 
 // rendezvousShares is the policy of the package.
-func rendezvousShares(w *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
-	return recentlySent(sent, now) < coldlimit.New(router, w.knownRouters[router]).Share(endpoint, coldBound.Limit(perSecond))
+func rendezvousShares(s *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
+	return recentlySent(sent, now) < coldlimit.New(router, s.knownRouters[router]).Share(endpoint, coldBound.Limit(perSecond))
 }
 
 // evenSpacing gives each router the same share, as the time between its requests.
-func evenSpacing(w *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
+func evenSpacing(s *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
 	if len(sent) == 0 {
 		return true
 	}
-	apart := time.Duration(float64(len(w.knownRouters[router])) / float64(coldBound.Limit(perSecond)) * float64(time.Second))
+	apart := time.Duration(float64(len(s.knownRouters[router])) / float64(coldBound.Limit(perSecond)) * float64(time.Second))
 	return now-sent[len(sent)-1] >= apart
 }
 
 // fourRouters makes four routers responsible, the first ones by rendezvous hashing.
-func fourRouters(w *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
+func fourRouters(s *simulation, router uint64, sent []time.Duration, now time.Duration) bool {
 	const responsible = 4
-	known := w.knownRouters[router]
+	known := s.knownRouters[router]
 	if coldlimit.New(router, known).Share(endpoint, min(responsible, len(known))) == 0 {
 		return false
 	}
@@ -123,56 +123,56 @@
 
 // hubGrants has a hub hand out grants for each round, by what routers wanted in the last round but one: its reports
 // are that late.
-func hubGrants(w *simulation, router uint64, _ []time.Duration, now time.Duration) bool {
+func hubGrants(s *simulation, router uint64, _ []time.Duration, now time.Duration) bool {
 	perRound := int(float64(coldBound.Limit(perSecond)) * float64(round) / float64(window))
 	n := int(now / round)
-	if w.grants == nil || w.round != n {
-		w.grants, w.round = map[uint64]int{}, n
-		for wanted := w.wanted[n-2]; len(wanted) > 0 && perRound > 0; perRound-- {
-			w.grants[wanted[w.random.IntN(len(wanted))]]++
+	if s.grants == nil || s.round != n {
+		s.grants, s.round = map[uint64]int{}, n
+		for wanted := s.wanted[n-2]; len(wanted) > 0 && perRound > 0; perRound-- {
+			s.grants[wanted[s.random.IntN(len(wanted))]]++
 		}
 	}
-	w.wanted[n] = append(w.wanted[n], router)
-	if w.grants[router] == 0 {
+	s.wanted[n] = append(s.wanted[n], router)
+	if s.grants[router] == 0 {
 		return false
 	}
-	w.grants[router]--
+	s.grants[router]--
 	return true
 }
 
 // run sends what the routers want for some seconds, the first of them with a given part of all demand. It returns the
 // highest number of requests that the endpoint got in any second, and the mean share of its bound that was used.
-func (w *simulation) run(routers []uint64, wanted, first float64, seconds int) (most int, used float64) {
-	w.sent = map[uint64][]time.Duration{}
+func (s *simulation) run(routers []uint64, wanted, first float64, seconds int) (most int, used float64) {
+	s.sent = map[uint64][]time.Duration{}
 	total := wanted * float64(len(routers))
 	for now := time.Duration(0); now < time.Duration(seconds)*time.Second; {
-		now += time.Duration(w.random.ExpFloat64() / total * float64(time.Second))
+		now += time.Duration(s.random.ExpFloat64() / total * float64(time.Second))
 		router := routers[0]
-		if w.random.Float64() >= first {
-			router = routers[w.random.IntN(len(routers))]
+		if s.random.Float64() >= first {
+			router = routers[s.random.IntN(len(routers))]
 		}
-		if w.policy(w, router, w.sent[router], now) {
-			w.sent[router] = append(w.sent[router], now)
-			w.all = append(w.all, now)
+		if s.policy(s, router, s.sent[router], now) {
+			s.sent[router] = append(s.sent[router], now)
+			s.all = append(s.all, now)
 		}
 	}
-	slices.Sort(w.all)
-	for i, at := range w.all {
+	slices.Sort(s.all)
+	for i, at := range s.all {
 		j := i
-		for j < len(w.all) && w.all[j]-at < time.Second {
+		for j < len(s.all) && s.all[j]-at < time.Second {
 			j++
 		}
 		most = max(most, j-i)
 	}
-	return most, float64(len(w.all)) / float64(seconds) / bound
+	return most, float64(len(s.all)) / float64(seconds) / bound
 }
 
 func newSimulation(seed uint64, policy policy, routers []uint64) *simulation {
-	w := &simulation{random: rand.New(rand.NewPCG(seed, seed)), policy: policy, knownRouters: map[uint64][]uint64{}, wanted: map[int][]uint64{}}
+	s := &simulation{random: rand.New(rand.NewPCG(seed, seed)), policy: policy, knownRouters: map[uint64][]uint64{}, wanted: map[int][]uint64{}}
 	for _, r := range routers {
-		w.knownRouters[r] = routers
+		s.knownRouters[r] = routers
 	}
-	return w
+	return s
 }
 
 // Guards against a cold endpoint that fails under the demand of 6, 82 or 300 routers, or that idles meanwhile.
--- a/core/fleetload/totals.go
+++ b/core/fleetload/totals.go
@@ -27,54 +27,54 @@
 const totalsMaxAge = 40 * time.Millisecond
 
 // NeedsUpdate returns whether the totals must be updated with Update.
-func (l *VersionedTotals) NeedsUpdate(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.updatedAt.IsZero() || now.Sub(l.updatedAt) >= totalsMaxAge
+func (v *VersionedTotals) NeedsUpdate(now time.Time) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.updatedAt.IsZero() || now.Sub(v.updatedAt) >= totalsMaxAge
 }
 
 // Update stores new totals and gives a new version to each load that has changed.
-func (l *VersionedTotals) Update(total Workload, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.byEndpoint == nil {
-		l.byEndpoint = map[uint32]*versionedLoad{}
+func (v *VersionedTotals) Update(total Workload, now time.Time) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.byEndpoint == nil {
+		v.byEndpoint = map[uint32]*versionedLoad{}
 	}
-	l.updatedAt, l.demands = now, total.Demands
+	v.updatedAt, v.demands = now, total.Demands
 	present := make(map[uint32]bool, len(total.Loads))
 	for _, load := range total.Loads {
 		present[load.Endpoint] = true
-		l.put(load.rounded())
+		v.put(load.rounded())
 	}
-	for endpoint := range l.byEndpoint {
+	for endpoint := range v.byEndpoint {
 		if !present[endpoint] {
-			l.put(Load{Endpoint: endpoint})
+			v.put(Load{Endpoint: endpoint})
 		}
 	}
 }
 
-func (l *VersionedTotals) put(load Load) {
-	old := l.byEndpoint[load.Endpoint]
+func (v *VersionedTotals) put(load Load) {
+	old := v.byEndpoint[load.Endpoint]
 	if old != nil && old.load == load {
 		return
 	}
-	l.version++
-	l.byEndpoint[load.Endpoint] = &versionedLoad{load: load, version: l.version}
+	v.version++
+	v.byEndpoint[load.Endpoint] = &versionedLoad{load: load, version: v.version}
 }
 
 // Since returns the loads that changed after the given version, all current demands, and the current version. An
 // endpoint that has become idle is included once, with a zero load.
-func (l *VersionedTotals) Since(after int64) (delta Workload, version int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, current := range l.byEndpoint {
+func (v *VersionedTotals) Since(after int64) (delta Workload, version int64) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, current := range v.byEndpoint {
 		if current.version > after && (after > 0 || current.load != Load{Endpoint: current.load.Endpoint}) {
 			delta.Loads = append(delta.Loads, current.load)
 		}
 	}
 	slices.SortFunc(delta.Loads, func(a, b Load) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
-	delta.Demands = l.demands
-	return delta, l.version
+	delta.Demands = v.demands
+	return delta, v.version
 }
 
 // ApplyDelta applies the changes that a router received to the state that it had; full means that they are the complete
--- a/core/retrylimit/limiter_test.go
+++ b/core/retrylimit/limiter_test.go
@@ -29,8 +29,8 @@
 	assert.Assert(t, !s.Allow("a", start))
 }
 
-// All routers are killed at once and start again with no history. Each has only its part of the slack: together they
-// must stay within the fleet's.
+// All routers are killed at once and start again with no history. Each has only its part of the slack, so together they
+// must stay within the slack of the fleet.
 func TestRestartsMintNoRetries(t *testing.T) {
 	total := 0
 	for range 10 {
--- a/core/rollout/plan.go
+++ b/core/rollout/plan.go
@@ -12,8 +12,8 @@
 	Loaded []string
 }
 
-// WantedVersion is a version or adapter that Replicas engines should have loaded; zero means all engines that may serve
-// the model.
+// WantedVersion is a version or adapter that should be loaded on as many engines as Replicas says; zero means all
+// engines that may serve the model.
 type WantedVersion struct {
 	Model    string
 	Name     string
@@ -126,15 +126,15 @@
 
 // replaced reports whether every wanted version of the model has all its replicas. It is false if no version is wanted.
 func (p *planner) replaced(model string) bool {
-	any := false
+	found := false
 	for _, w := range p.wanted {
 		if w.Model != model {
 			continue
 		}
-		any = true
+		found = true
 		if p.replicas[w.ID()] < p.targetReplicas(w) {
 			return false
 		}
 	}
-	return any
+	return found
 }
