--- a/core/dispatch/breaker.go
+++ b/core/dispatch/breaker.go
@@ -51,7 +51,7 @@
 func (b *breaker) reset() { *b = breaker{} }
 
 // withoutSilent leaves out the endpoints whose breakers are open, unless all are: then this router itself is cut off,
-// or there is nothing to lose.
+// or no endpoint answers and sending to one costs nothing.
 func withoutSilent(pool []*endpoint, now time.Time) (kept []*endpoint) {
 	isSilent := func(e *endpoint) bool { return e.breaker.isOpen(now) }
 	if !slices.ContainsFunc(pool, isSilent) {
--- a/core/dispatch/drain_test.go
+++ b/core/dispatch/drain_test.go
@@ -155,7 +155,7 @@
 	assert.Equal(t, served, 6*26)
 }
 
-// Guards against an engine that restarts with the same id, answers, and is taken for the warm one that was lost.
+// Guards against an engine that restarts with the same id, answers, and is treated as the warm one that was lost.
 func TestEngineThatAnswersAgainCountsAsCold(t *testing.T) {
 	d, _ := newTwoDomains(1)
 	now := start
--- a/core/dispatch/endpoint.go
+++ b/core/dispatch/endpoint.go
@@ -160,13 +160,13 @@
 	priorSuccesses = 2.0
 )
 
-func (c *decayingRatio) decayTo(now time.Time) {
-	if c.all > minDecayedWeight {
-		f := decay(now.Sub(c.at))
-		c.bad *= f
-		c.all *= f
+func (r *decayingRatio) decayTo(now time.Time) {
+	if r.all > minDecayedWeight {
+		f := decay(now.Sub(r.at))
+		r.bad *= f
+		r.all *= f
 	}
-	c.at = now
+	r.at = now
 }
 
 // minDecayedWeight is the weight below which attempts are not decayed further, which spares the exponential for most
@@ -176,10 +176,10 @@
 // decay returns the remaining weight of an observation of that age.
 func decay(age time.Duration) float64 { return math.Exp2(-float64(age) / float64(failureHalfLife)) }
 
-func (c *decayingRatio) add(bad, all float64, now time.Time) {
-	c.decayTo(now)
-	c.bad += bad
-	c.all += all
+func (r *decayingRatio) add(bad, all float64, now time.Time) {
+	r.decayTo(now)
+	r.bad += bad
+	r.all += all
 }
 
 // decayingMean is an exponentially weighted mean that decays with time towards a default: an endpoint that was found
@@ -192,28 +192,28 @@
 // smoothingFactor is the weight of the newest value: about five values decide.
 const smoothingFactor = 0.25
 
-func (a *decayingMean) add(v float64, now time.Time) {
-	if a.at.IsZero() {
-		a.value = v
+func (m *decayingMean) add(v float64, now time.Time) {
+	if m.at.IsZero() {
+		m.value = v
 	} else {
-		a.value += smoothingFactor * (v - a.value)
+		m.value += smoothingFactor * (v - m.value)
 	}
-	a.at = now
+	m.at = now
 }
 
-func (a *decayingMean) decayedOr(usual float64, now time.Time) float64 {
-	if a.at.IsZero() {
+func (m *decayingMean) decayedOr(usual float64, now time.Time) float64 {
+	if m.at.IsZero() {
 		return usual
 	}
-	return usual + (a.value-usual)*decay(now.Sub(a.at))
+	return usual + (m.value-usual)*decay(now.Sub(m.at))
 }
 
 // lastOr returns the mean without decay, for values that time alone does not change.
-func (a *decayingMean) lastOr(usual float64) float64 {
-	if a.at.IsZero() {
+func (m *decayingMean) lastOr(usual float64) float64 {
+	if m.at.IsZero() {
 		return usual
 	}
-	return a.value
+	return m.value
 }
 
 // prefillRate learns how many prompt tokens an engine reads in a millisecond.
--- a/core/dispatch/fetch.go
+++ b/core/dispatch/fetch.go
@@ -8,7 +8,7 @@
 const (
 	// minFetchTokens is from how many tokens on it pays to fetch cached parts from another endpoint. Setting up a
 	// transfer takes about 8 ms, as long as reading 900 tokens, but unlike reading it does not delay running streams
-	// (prefillInterference). With 1,000, a fifth more shared tokens were read a second time on calm days.
+	// (prefillInterference). With 1,000, a fifth more shared tokens were read a second time on days without surges.
 	minFetchTokens = 200
 	// maxSourceFailureRate is the failure rate up to which cached parts are fetched from an endpoint.
 	maxSourceFailureRate = 0.3
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -19,7 +19,7 @@
 // arrive, and the rest to those of this rank, shared fairly between accounts by random choice. Without it, a service
 // that gets several times the requests it can serve treats all ranks alike, and drafts are refused while quick
 // questions hold the capacity. A fixed threshold in place of the random choice does not work: all routers admit
-// everybody until it is reached, fill the capacity twice before any sees it, and then refuse urgent requests too.
+// every request until it is reached, fill the capacity twice before any sees it, and then refuse urgent requests too.
 func (c *scoring) rejects() (reason Reason, rejected bool) {
 	taken, capacity := c.occupancy()
 	if capacity == 0 || taken < unreservedShare*capacity {
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -65,8 +65,8 @@
 }
 
 // A surge of quick questions, four times what the engines can serve, comes with as many drafts as they can serve.
-// Drafts were refused as often as questions, since whoever came first was admitted. Questions must leave capacity for
-// the drafts that come later, and get what the drafts leave.
+// Drafts were refused as often as questions, since requests were admitted in the order of arrival. Questions must leave
+// capacity for the drafts that come later, and get what the drafts leave.
 func TestLessUrgentRequestsLeaveCapacity(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		c := newRankedLoad(t, 4)
@@ -124,8 +124,8 @@
 }
 
 // A plain service reported a few calls of other routers that it happened to run when it answered. They end within the
-// latency of a call: when they counted for a second, a service that did a fifth of what it can was taken for full, and
-// calls were refused.
+// latency of a call: when they counted for a second, a service that did a fifth of what it can seemed full, and calls
+// were refused.
 func TestUntrackedCallsEndWithinLatency(t *testing.T) {
 	d, _ := newDispatcher(1)
 	d.SetFleetWorkload(fleetload.Workload{}, fleetload.Workload{}, start)
--- a/core/retryafter/delay_test.go
+++ b/core/retryafter/delay_test.go
@@ -10,8 +10,8 @@
 )
 
 // A surge lasts eight seconds and one client in five is admitted. Clients try twice. When all retried after 200 ms,
-// whoever was refused once was refused twice. With a delay as long as the surge has lasted, those of its second half
-// must find it over.
+// a client that was refused once was refused twice. With a delay as long as the surge has lasted, clients that are
+// refused in its second half must retry after its end.
 func TestDelaysOutlastASurge(t *testing.T) {
 	const surge, patience, goal = 8 * time.Second, 15 * time.Second, 800 * time.Millisecond
 	outlasted := 0
--- a/core/retrylimit/limiter.go
+++ b/core/retrylimit/limiter.go
@@ -44,30 +44,30 @@
 }
 
 // SetLimits replaces the limits. The counts are kept unless the window changes.
-func (s *Limiter) SetLimits(l Limits) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if l.Window != s.limits.Window {
-		s.byService = nil
+func (l *Limiter) SetLimits(limits Limits) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if limits.Window != l.limits.Window {
+		l.byService = nil
 	}
-	s.limits = l
+	l.limits = limits
 }
 
 // RecordFirst counts a request for the service.
-func (s *Limiter) RecordFirst(service string, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if c := s.slidingCounts(service, now); c != nil {
+func (l *Limiter) RecordFirst(service string, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c := l.slidingCounts(service, now); c != nil {
 		c.firsts[c.slot%(windowSlots+1)]++
 	}
 }
 
 // Allow reports whether a retry at the service is allowed, and counts it if so.
-func (s *Limiter) Allow(service string, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.slidingCounts(service, now)
-	if c == nil || s.remaining(c) < 1 {
+func (l *Limiter) Allow(service string, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := l.slidingCounts(service, now)
+	if c == nil || l.remaining(c) < 1 {
 		return false
 	}
 	c.retries[c.slot%(windowSlots+1)]++
@@ -75,39 +75,39 @@
 }
 
 // Remaining returns how many retries at the service this router may make now.
-func (s *Limiter) Remaining(service string, now time.Time) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.slidingCounts(service, now)
+func (l *Limiter) Remaining(service string, now time.Time) float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := l.slidingCounts(service, now)
 	if c == nil {
 		return 0
 	}
-	return s.remaining(c)
+	return l.remaining(c)
 }
 
-func (s *Limiter) remaining(c *slidingCounts) float64 {
+func (l *Limiter) remaining(c *slidingCounts) float64 {
 	firsts, retries := 0, 0
 	for i := range c.firsts {
 		firsts += c.firsts[i]
 		retries += c.retries[i]
 	}
-	slack := s.limits.Slack / float64(max(s.limits.Routers, 1))
-	return usableShare*(s.limits.Ratio*float64(firsts)+slack) - float64(retries)
+	slack := l.limits.Slack / float64(max(l.limits.Routers, 1))
+	return usableShare*(l.limits.Ratio*float64(firsts)+slack) - float64(retries)
 }
 
 // slidingCounts returns the counts of the service, advanced to now.
-func (s *Limiter) slidingCounts(service string, now time.Time) *slidingCounts {
-	if s.limits.Window <= 0 {
+func (l *Limiter) slidingCounts(service string, now time.Time) *slidingCounts {
+	if l.limits.Window <= 0 {
 		return nil
 	}
-	if s.byService == nil {
-		s.byService, s.epoch = map[string]*slidingCounts{}, now
+	if l.byService == nil {
+		l.byService, l.epoch = map[string]*slidingCounts{}, now
 	}
-	slot := int64(now.Sub(s.epoch) / (s.limits.Window / windowSlots))
-	c := s.byService[service]
+	slot := int64(now.Sub(l.epoch) / (l.limits.Window / windowSlots))
+	c := l.byService[service]
 	if c == nil {
 		c = &slidingCounts{slot: slot}
-		s.byService[service] = c
+		l.byService[service] = c
 	}
 	if slot-c.slot > windowSlots {
 		c.slot = slot - windowSlots - 1
