--- a/core/dispatch/breaker.go
+++ b/core/dispatch/breaker.go
@@ -21,7 +21,7 @@
 type breaker struct {
 	trips     int
 	openUntil time.Time
-	// probing is set while a request finds out whether the endpoint is back.
+	// probing is set while a request is probing whether the endpoint is back.
 	probing bool
 }
 
@@ -51,7 +51,7 @@
 func (b *breaker) reset() { *b = breaker{} }
 
 // withoutSilent leaves out the endpoints whose breakers are open, unless all are: then this router itself is cut off,
-// or there is nothing to lose.
+// or no endpoint answers and sending to one costs nothing.
 func withoutSilent(pool []*endpoint, now time.Time) (kept []*endpoint) {
 	isSilent := func(e *endpoint) bool { return e.breaker.isOpen(now) }
 	if !slices.ContainsFunc(pool, isSilent) {
--- a/core/dispatch/reserve_test.go
+++ b/core/dispatch/reserve_test.go
@@ -29,24 +29,24 @@
 type counts struct{ urgent, others, urgentRefused, othersRefused int }
 
 // run sends requests at a rate for some time, one in four of them urgent.
-func (c *rankedLoad) run(perSecond int, d time.Duration) (n counts) {
-	for end := c.now.Add(d); c.now.Before(end); c.n++ {
-		c.now = c.now.Add(time.Second / time.Duration(perSecond))
-		for len(c.running) > 0 && !c.now.Before(c.running[0].until) {
-			c.running[0].a.End(dispatch.Served, c.now)
-			c.running = c.running[1:]
+func (l *rankedLoad) run(perSecond int, d time.Duration) (n counts) {
+	for end := l.now.Add(d); l.now.Before(end); l.n++ {
+		l.now = l.now.Add(time.Second / time.Duration(perSecond))
+		for len(l.running) > 0 && !l.now.Before(l.running[0].until) {
+			l.running[0].a.End(dispatch.Served, l.now)
+			l.running = l.running[1:]
 		}
-		q := dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: c.n, Tokens: 300}}}
-		if c.n%4 != 0 {
+		q := dispatch.Query{Service: models, Prompt: prompt.Chain{{ID: l.n, Tokens: 300}}}
+		if l.n%4 != 0 {
 			q.Rank = 1
 		}
-		a, why := c.d.Choose(q, c.now)
+		a, why := l.d.Choose(q, l.now)
 		if a != nil {
-			c.running = append(c.running, running{a: a, until: c.now.Add(time.Second)})
+			l.running = append(l.running, running{a: a, until: l.now.Add(time.Second)})
 		}
 		switch {
 		case a == nil && q.Rank == 0:
-			assert.Equal(c.t, why, dispatch.ReasonAllFull)
+			assert.Equal(l.t, why, dispatch.ReasonAllFull)
 			n.urgentRefused++
 		case a == nil:
 			n.othersRefused++
@@ -65,8 +65,8 @@
 }
 
 // A surge of quick questions, four times what the engines can serve, comes with as many drafts as they can serve.
-// Drafts were refused as often as questions, since whoever came first was admitted. Questions must leave capacity for
-// the drafts that come later, and get what the drafts leave.
+// Drafts were refused as often as questions, since requests were admitted in the order of arrival. Questions must leave
+// capacity for the drafts that come later, and get what the drafts leave.
 func TestLessUrgentRequestsLeaveCapacity(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		c := newRankedLoad(t, 4)
@@ -124,8 +124,8 @@
 }
 
 // A plain service reported a few calls of other routers that it happened to run when it answered. They end within the
-// latency of a call: when they counted for a second, a service that did a fifth of what it can was taken for full, and
-// calls were refused.
+// latency of a call: when they counted for a second, a service that did a fifth of what it can seemed full, and calls
+// were refused.
 func TestUntrackedCallsEndWithinLatency(t *testing.T) {
 	d, _ := newDispatcher(1)
 	d.SetFleetWorkload(fleetload.Workload{}, fleetload.Workload{}, start)
