--- a/io/clientconn/closereason.go
+++ b/io/clientconn/closereason.go
@@ -48,7 +48,7 @@
 	return KeepAliveFailed
 }
 
-// writeCloseReason does the same for a write error. A write times out if the peer does not read.
+// writeCloseReason returns what a write error says about the peer. A write times out if the peer does not read.
 func writeCloseReason(err error) CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return WriteTimeout
--- a/io/entry/attempt.go
+++ b/io/entry/attempt.go
@@ -52,7 +52,7 @@
 	return nil, request.NotRun(request.NoEndpoint, retryLater)
 }
 
-// retryAfterFull returns when the client should retry a request to a service that is at capacity.
+// retryAfterFull returns how long the client should wait before it retries a request to a service that is at capacity.
 func (x *exchange) retryAfterFull() time.Duration {
 	now := time.Now()
 	full := x.handler.Dispatcher.FullFor(x.service, x.rank(), now)
@@ -119,7 +119,7 @@
 	}
 	took, first := a.End(v, time.Now())
 	if first {
-		x.handler.Metrics.attempt(x.service, v, took)
+		x.handler.Metrics.recordAttempt(x.service, v, took)
 	}
 }
 
--- a/io/entry/exchange.go
+++ b/io/entry/exchange.go
@@ -70,10 +70,10 @@
 }
 
 const (
-	// retrySoon is when to retry after a refusal that another router, or the same one a moment later, may not repeat.
+	// retrySoon is the retry delay after a refusal that is specific to this router or to this moment.
 	retrySoon = 50 * time.Millisecond
-	// retryLater is when to retry while this router waits for the store: about the time until its next attempts to read
-	// it.
+	// retryLater is the retry delay while this router waits for data from the store. It is about the time until the
+	// router next tries to read it.
 	retryLater = 500 * time.Millisecond
 )
 
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -29,17 +29,19 @@
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,outcome=%q,reason=%q}`, kind, p.Outcome, p.Reason)).Inc()
 }
 
-// attempt counts an attempt at an endpoint of the service and records how long it occupied the endpoint.
-func (f *Metrics) attempt(service string, v dispatch.Verdict, took time.Duration) {
+// recordAttempt counts an attempt at an endpoint of the service and records how long it occupied the endpoint.
+func (f *Metrics) recordAttempt(service string, v dispatch.Verdict, took time.Duration) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_attempts_total{service=%q,verdict=%q}`, service, v)).Inc()
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_attempt_seconds{service=%q}`, service)).Update(took.Seconds())
 }
 
-func (f *Metrics) firstEvent(kind string, took time.Duration) {
+func (f *Metrics) recordFirstEvent(kind string, took time.Duration) {
 	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_first_event_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
-func (x *exchange) firstEvent() { x.handler.Metrics.firstEvent(x.kind(), time.Since(x.began)) }
+func (x *exchange) recordFirstEvent() {
+	x.handler.Metrics.recordFirstEvent(x.kind(), time.Since(x.began))
+}
 
 // kind returns the value of the label for the route's kind.
 func (x *exchange) kind() string {
--- a/io/entry/stream.go
+++ b/io/entry/stream.go
@@ -42,7 +42,7 @@
 // try forwards the stream of one attempt. done reports that the client has its complete response.
 func (s *relay) try(a *attempt) (done bool, p *request.Problem) {
 	x := s.x
-	w := s.silenceWatch(a)
+	w := s.startSilenceWatch(a)
 	defer w.stop()
 	err := x.send(a, x.deadline.Add(responseSlack), s.lastEvent)
 	if err != nil {
@@ -62,7 +62,7 @@
 	if a.response.Status != http.StatusOK || !x.fromEndpoint(a) {
 		return s.forwardNonStream(a)
 	}
-	return s.relay(a, w)
+	return s.forwardEvents(a, w)
 }
 
 // forwardNonStream handles a response that is not a stream.
@@ -85,9 +85,9 @@
 // streamReadSize is the size of the read buffer for a stream, in bytes.
 const streamReadSize = 4 << 10
 
-// silenceWatch starts a silenceWatch for an attempt that is about to be made, if the stream could continue at another
-// endpoint.
-func (s *relay) silenceWatch(a *attempt) (w *silenceWatch) {
+// startSilenceWatch starts a silenceWatch for an attempt that is about to be made, if the stream could continue at
+// another endpoint.
+func (s *relay) startSilenceWatch(a *attempt) (w *silenceWatch) {
 	x := s.x
 	w = &silenceWatch{attempt: a, canMove: func() bool { return x.handler.canMove(x.service, a) }}
 	if x.route.Kind.Repeatable() && x.sends+1 < x.route.MaxAttempts {
@@ -105,8 +105,8 @@
 // errNotForwardable is returned if the events could not be forwarded to the client as received.
 var errNotForwardable = errors.New("events cannot be forwarded")
 
-// relay forwards complete events until the stream ends or fails.
-func (s *relay) relay(a *attempt, w *silenceWatch) (done bool, p *request.Problem) {
+// forwardEvents forwards complete events until the stream ends or fails.
+func (s *relay) forwardEvents(a *attempt, w *silenceWatch) (done bool, p *request.Problem) {
 	var split sse.Splitter
 	err := s.copy(a, w, &split)
 	if errors.Is(err, io.EOF) {
@@ -169,7 +169,7 @@
 	}
 	s.x.setConnectionClose(h)
 	s.x.w.WriteHeader(a.response.Status)
-	s.x.firstEvent()
+	s.x.recordFirstEvent()
 }
 
 // writeEvents writes the events that the bytes complete. Events that the client already has are skipped, because an
