--- a/io/hub/agent.go
+++ b/io/hub/agent.go
@@ -125,7 +125,7 @@
 	lastHubChange time.Duration
 }
 
-// New binds the listen address immediately.
+// New returns an agent that already listens on its address, but serves and reports only once it is started.
 func New(c Config) (a *Agent, err error) {
 	defer annotate.Error(&err, "listen for routers on %s", c.ListenAddress)
 	a = &Agent{Config: c, accepted: map[net.Conn]bool{}, newsCh: make(chan struct{}), listLoaded: make(chan struct{}), epoch: newEpoch(c.Self.Name, time.Now())}
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// Stop ends both. The router stays on the list in the store: a VM that comes back has the same name, and the next hub
-// detects by itself which routers respond.
+// Stop stops serving and reporting. The router stays on the list in the store: a VM that comes back has the same name,
+// and the next hub detects by itself which routers respond.
 func (a *Agent) Stop(context.Context) error {
 	a.cancel()
 	_ = a.listener.Close()
--- a/io/hub/client.go
+++ b/io/hub/client.go
@@ -159,8 +159,8 @@
 	return true
 }
 
-// stuckFactor, times the age at which a router starts to read by itself, is the age from which a hub counts as stuck:
-// twice the age that its reads should ever reach.
+// stuckFactor determines when a hub counts as stuck: when its reads are older than StaleAfter times this factor. That is
+// twice the age that the reads of a hub should ever reach.
 const stuckFactor = 1.5
 
 // hubStuck reports whether what the hub knows is old although it does not report that the store cannot be read.
--- a/io/hub/fakestore_test.go
+++ b/io/hub/fakestore_test.go
@@ -62,8 +62,8 @@
 	return calls
 }
 
-// noteRead records that a read sent at that time was answered.
-func (s *fakeStore) noteRead(sent time.Time) {
+// recordRead records that a read sent at that time was answered.
+func (s *fakeStore) recordRead(sent time.Time) {
 	if sent.After(s.lastSent) {
 		s.lastSent = sent
 	}
@@ -112,7 +112,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteRead(sent)
+	s.recordRead(sent)
 	newest := map[string]compactedlog.Record{}
 	for _, r := range s.topics[s.name] {
 		newest[r.Key] = r
@@ -132,7 +132,7 @@
 	for err == nil {
 		s.mu.Lock()
 		records, firstOffset, newsCh := s.topics[s.name], s.firstOffset[s.name], s.newsCh
-		s.noteRead(sent)
+		s.recordRead(sent)
 		s.mu.Unlock()
 		if from < firstOffset && from < int64(len(records)) {
 			return p, compactedlog.TrimmedError{Requested: from, First: firstOffset}
--- a/io/hub/fleet_test.go
+++ b/io/hub/fleet_test.go
@@ -19,10 +19,10 @@
 		defer f.stop()
 		calls := f.store.takeCalls()
 		assert.Assert(t, calls <= 2*300+60, "%d calls", calls)
-		first, levels, most := f.topology()
-		assert.Equal(t, first, 1)
+		roots, levels, mostFollowers := f.topology()
+		assert.Equal(t, roots, 1)
 		assert.Equal(t, levels, 2)
-		assert.Assert(t, most <= 64, "%d follow one", most)
+		assert.Assert(t, mostFollowers <= 64, "%d follow one", mostFollowers)
 		for _, r := range f.routers {
 			assert.Equal(t, r.work.running(), 300, r.self.Name)
 		}
@@ -88,8 +88,8 @@
 		time.Sleep(4 * time.Second)
 		f.assertKnown("2", endpointCount-1, 3*time.Second)
 		f.assertNotFresherThanStore()
-		first, _, _ := f.topology()
-		assert.Equal(t, first, 1)
+		roots, _, _ := f.topology()
+		assert.Equal(t, roots, 1)
 		calls := f.store.takeCalls()
 		assert.Assert(t, calls <= 300, "%d calls", calls)
 	})
@@ -110,10 +110,10 @@
 			time.Sleep(propagationBound)
 			f.assertKnown("2", endpointCount-1, propagationBound)
 			time.Sleep(3 * time.Second)
-			first, levels, most := f.topology()
-			assert.Equal(t, first, 1)
+			roots, levels, mostFollowers := f.topology()
+			assert.Equal(t, roots, 1)
 			assert.Assert(t, levels <= 3)
-			assert.Assert(t, most <= 52, "%d follow one", most)
+			assert.Assert(t, mostFollowers <= 52, "%d follow one", mostFollowers)
 			calls := f.store.takeCalls()
 			assert.Assert(t, calls <= 250, "%d calls, silent %v", calls, silent)
 		})
@@ -136,10 +136,10 @@
 		time.Sleep(time.Second)
 		f.assertKnown("1", endpointCount, 1500*time.Millisecond)
 		time.Sleep(2 * time.Second)
-		first, levels, most := f.topology()
-		assert.Equal(t, first, 1)
+		roots, levels, mostFollowers := f.topology()
+		assert.Equal(t, roots, 1)
 		assert.Assert(t, levels <= 3)
-		assert.Assert(t, most <= 64, "%d follow one", most)
+		assert.Assert(t, mostFollowers <= 64, "%d follow one", mostFollowers)
 		calls := f.store.takeCalls()
 		assert.Assert(t, calls <= 3*300+60, "%d calls", calls)
 	})
@@ -167,8 +167,8 @@
 		assert.Assert(t, calls <= 120, "%d calls", calls)
 		f.net.isolate(nil)
 		time.Sleep(20 * time.Second)
-		first, _, _ := f.topology()
-		assert.Equal(t, first, 1)
+		roots, _, _ := f.topology()
+		assert.Equal(t, roots, 1)
 	})
 }
 
@@ -178,21 +178,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 120)
 		defer f.stop()
-		var first string
+		var frozenAddress string
 		for _, r := range f.routers {
 			if r.agent.HubName() == r.self.Name {
-				first = r.self.Address
+				frozenAddress = r.self.Address
 			}
 		}
-		f.net.freeze(first)
+		f.net.freeze(frozenAddress)
 		f.putEndpoint(0, true)
 		time.Sleep(2500 * time.Millisecond)
 		for _, r := range f.routers {
-			if r.self.Address != first {
+			if r.self.Address != frozenAddress {
 				assert.Equal(t, r.usable(), endpointCount-1, r.self.Name)
 			}
 		}
-		f.net.unfreeze(first)
+		f.net.unfreeze(frozenAddress)
 		time.Sleep(20 * time.Second)
 		f.assertKnown("1", endpointCount-1, 2*time.Second)
 		n, _, _ := f.topology()
--- a/io/hub/fleetharness_test.go
+++ b/io/hub/fleetharness_test.go
@@ -116,11 +116,11 @@
 }
 
 // kill stops routers without notice to the others. If silent, dialling them times out instead of failing at once.
-func (f *fleet) kill(silent bool, dies func(m members.Member) bool) (dead []members.Member) {
+func (f *fleet) kill(silent bool, shouldKill func(m members.Member) bool) (dead []members.Member) {
 	kept := f.routers[:0:0]
 	var ending sync.WaitGroup
 	for _, r := range f.routers {
-		if !dies(r.self) {
+		if !shouldKill(r.self) {
 			kept = append(kept, r)
 			continue
 		}
@@ -198,18 +198,18 @@
 
 // topology returns the number of roots, the number of levels below them, and the number of followers of the busiest
 // hub.
-func (f *fleet) topology() (first, levels, most int) {
+func (f *fleet) topology() (roots, levels, mostFollowers int) {
 	f.t.Helper()
 	hubs, followers := map[string]string{}, map[string]int{}
 	for _, r := range f.routers {
 		hubName := r.agent.HubName()
 		if hubName == r.self.Name {
-			first++
+			roots++
 			continue
 		}
 		hubs[r.self.Name] = hubName
 		followers[hubName]++
-		most = max(most, followers[hubName])
+		mostFollowers = max(mostFollowers, followers[hubName])
 	}
 	for at := range hubs {
 		depth := 0
@@ -219,7 +219,7 @@
 		}
 		levels = max(levels, depth)
 	}
-	return first, levels, most
+	return roots, levels, mostFollowers
 }
 
 // assertNotFresherThanStore checks that no router dates its data later than the last read that the store answered.
--- a/io/hub/input_test.go
+++ b/io/hub/input_test.go
@@ -40,7 +40,7 @@
 // A reply that does not continue from the current state (a gap, a sequence number that goes back, columns of
 // different lengths) is not applied and resets the state, so that the next report is answered with everything.
 func TestDiscontinuousReplyIsRejectedAndReset(t *testing.T) {
-	for name, spoil := range map[string]func(r *Reply){
+	for name, corrupt := range map[string]func(r *Reply){
 		"gap":       func(r *Reply) { r.Since.Changes = 99; r.Numbers.Changes = 100 },
 		"goes back": func(r *Reply) { r.Numbers.Changes = r.Since.Changes - 1 },
 		"holes":     func(r *Reply) { r.Loads = LoadColumns{Endpoints: []uint32{1, 2}, Running: []int32{1}} },
@@ -50,7 +50,7 @@
 			var next Reply
 			sendTestReport(t, s, a, &next)
 			next.Members = []members.Member{{Name: "foreign", Address: "a"}}
-			spoil(&next)
+			corrupt(&next)
 			assert.Assert(t, a.applyReply(&next, fleetload.Workload{}, fleetload.Workload{}, 0) != nil)
 			assert.Equal(t, a.Members.Len(), 1)
 			var whole Reply
--- a/io/hub/offer.go
+++ b/io/hub/offer.go
@@ -98,17 +98,17 @@
 	return offerApplied
 }
 
-// starvedAge is the age of a hub's data from which it has other routers read for it.
-const starvedAge = 900 * time.Millisecond
+// outdatedAge is the age of a hub's data above which the hub asks other routers to read the store for it.
+const outdatedAge = 900 * time.Millisecond
 
 // storeAccess returns how well this router, as a hub that must read the store, can do so.
 func (a *Agent) storeAccess() (access readrotation.Hub) {
 	access.Failing = a.ReadsStore() && (a.Configuration.Failing() || a.Registry.Failing())
-	access.Stale = access.Failing && (a.starved(a.Configuration) || a.starved(a.Registry))
+	access.Stale = access.Failing && (a.outdated(a.Configuration) || a.outdated(a.Registry))
 	return access
 }
 
-func (a *Agent) starved(f TopicReader) bool {
+func (a *Agent) outdated(f TopicReader) bool {
 	_, sent, ok := f.Position()
-	return !ok || a.Clock()-sent > starvedAge
+	return !ok || a.Clock()-sent > outdatedAge
 }
