--- a/io/follow/doc.go
+++ b/io/follow/doc.go
@@ -1,3 +1,3 @@
-// Package follow keeps a sink up to date with a topic in the platform's store that keeps the newest value of each
-// key.
+// Package follow keeps a sink up to date with a compacted topic of the platform's store, which keeps the newest value
+// of each key.
 package follow
--- a/io/follow/follower.go
+++ b/io/follow/follower.go
@@ -85,13 +85,13 @@
 	// connection that has gone silent, and a configuration must be in force within two seconds.
 	answerTimeout = 700 * time.Millisecond
 	// leaderRetryMin and leaderRetryMax bound the delay after a failed read. It doubles with each failure, so that
-	// routers do not all hit a recovering store at once, yet the router that reads for the others notices the
+	// routers do not all call a recovering store at once, yet the router that reads for the others notices the
 	// recovery within a second.
 	leaderRetryMin = 80 * time.Millisecond
 	leaderRetryMax = 800 * time.Millisecond
 	// followerRetryMin and followerRetryMax are the bounds for the other routers, which learn from the hub that the
-	// store is back. With the hub's shorter delays, eighty routers made four of five of a day's calls during
-	// the store's outages.
+	// store is available again. With the hub's shorter delays, four fifths of the calls that eighty routers made in a
+	// day were made during the store's outages.
 	followerRetryMin = 600 * time.Millisecond
 	followerRetryMax = 2 * time.Second
 	// slowAnswerTimeout is the read timeout after repeated failures, in case the store is slow rather than
--- a/io/follow/follower_test.go
+++ b/io/follow/follower_test.go
@@ -168,8 +168,8 @@
 	})
 }
 
-// A router that gets updates from the hub does not read. When the hub goes silent, the router reads itself in time
-// for a configuration to be in force two seconds after it was written.
+// A router that gets updates from the hub does not read. When the hub stops answering, the router reads the topic
+// itself, in time for a configuration to be in force two seconds after it was written.
 func TestFollowerReadsWhenHubStopsReporting(t *testing.T) {
 	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
@@ -305,8 +305,8 @@
 }
 
 // The hub answers but cannot read the store. A router that it answers does not read however old its data gets,
-// because reads by hundreds of routers would only make an outage worse. When the hub goes silent, the router
-// reads.
+// because reads by hundreds of routers would only make an outage worse. When the hub stops answering, the router
+// reads the topic itself.
 func TestFollowerOfRespondingHubDoesNotRead(t *testing.T) {
 	withFollower(t, func(f *follow.Follower, tp *fakeTopic, s *fakeSink, now func() time.Duration) {
 		time.Sleep(10 * time.Millisecond)
--- a/io/logwriter/logger.go
+++ b/io/logwriter/logger.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	// linesPerSecond and burst limit the volume. At about 250 bytes a line this is 12 KB/s at most, and takes well
-	// below a hundredth of a processor core.
+	// linesPerSecond and burst limit the volume. At about 250 bytes a line, this is at most 12 KB/s, and takes well
+	// below 1% of a processor core.
 	linesPerSecond = 50
 	burst          = 150
 	// servedPerSecond limits the lines about requests that were served after a retry, so that most of the rate is left
--- a/io/storeconfig/tracker.go
+++ b/io/storeconfig/tracker.go
@@ -42,8 +42,8 @@
 // Replace applies the newest record of every key.
 func (tr *Tracker) Replace(records []compactedlog.Record) { tr.Apply(records) }
 
-// Apply puts the newest configuration among the records in force. Older versions are ignored: a read that was
-// overtaken by another one must not restore a withdrawn key.
+// Apply puts into force the newest configuration that the records contain. A version older than the current one is
+// ignored: a read that finishes after a later one must not restore a withdrawn key.
 func (tr *Tracker) Apply(records []compactedlog.Record) {
 	for _, r := range records {
 		t, ok, err := tr.decoder.Decode(r)
