--- a/io/claims/doc.go
+++ b/io/claims/doc.go
@@ -1,3 +1,3 @@
-// Package claims claims the idempotency keys of requests that may run at most once, through records on the platform's
-// log.
+// Package claims ensures that requests with an idempotency key run at most once, by claiming each key with a record on
+// the platform's log.
 package claims
--- a/io/claims/partition.go
+++ b/io/claims/partition.go
@@ -212,7 +212,7 @@
 	if p.needsRead(c) {
 		_ = p.readThrough(ctx, unknownOffset)
 	}
-	g, decided, err := p.decided(c)
+	g, decided, err := p.decideFromRecords(c)
 	if decided || err != nil {
 		return g, err
 	}
@@ -243,8 +243,8 @@
 	return !p.healthy || s == claim.Pending
 }
 
-// decided answers from the records read so far, and refuses at once what cannot be guaranteed now.
-func (p *partition) decided(c claim.Request) (g claim.Grant, decided bool, err error) {
+// decideFromRecords answers from the records read so far, and refuses at once what cannot be guaranteed now.
+func (p *partition) decideFromRecords(c claim.Request) (g claim.Grant, decided bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastUsed = time.Now()
--- a/io/peer/agent.go
+++ b/io/peer/agent.go
@@ -264,7 +264,7 @@
 	m := a.newMessage(p.Name)
 	err := a.call(ctx, p, "Meet", m, &reply)
 	if err == nil {
-		a.delivered(p.Name, m.Findings)
+		a.markDelivered(p.Name, m.Findings)
 		a.receive(&reply)
 		a.fetchRecords(ctx, p, reply.Next)
 		return
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -173,14 +173,14 @@
 	if err == nil {
 		raw, err = a.handshake(ctx, raw, c.address)
 	}
-	a.dialed(c, raw, err)
+	a.finishDial(c, raw, err)
 	if err != nil {
 		a.retireConnection(name, c)
 	}
 }
 
-// dialed stores the result of a dial and wakes the calls that wait for it.
-func (a *Agent) dialed(c *connection, raw net.Conn, err error) {
+// finishDial stores the result of a dial and wakes the calls that wait for it.
+func (a *Agent) finishDial(c *connection, raw net.Conn, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	defer close(c.dialed)
--- a/io/peer/finding.go
+++ b/io/peer/finding.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// delivered records that the peer has received the findings, except those that have changed in the meantime.
-func (a *Agent) delivered(peer string, findings []Finding) {
+// markDelivered records that the peer has received the findings, except those that have changed in the meantime.
+func (a *Agent) markDelivered(peer string, findings []Finding) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, delivered := range findings {
--- a/io/probe/prober.go
+++ b/io/probe/prober.go
@@ -54,7 +54,7 @@
 }
 
 const (
-	// probersPerEndpoint is how many routers probe each endpoint, so that one of them may fail.
+	// probersPerEndpoint is how many routers probe each endpoint, so that one of them may be lost.
 	probersPerEndpoint = 2
 	// timeoutShare is the probe timeout as a share of the period. Two probes follow each other, that of a router with
 	// the duty and then that of each router that receives its finding, and together with the period both must fit into
