--- a/io/caller/completion.go
+++ b/io/caller/completion.go
@@ -119,7 +119,7 @@
 		x.fail(p)
 		return
 	}
-	x.reported(http.StatusOK, p.outcome, p.message)
+	x.recordResult(http.StatusOK, p.outcome, p.message)
 	fmt.Fprintf(x.w, "data: %s\n\n", p.body(x.requestID))
 	_ = http.NewResponseController(x.w).Flush()
 }
@@ -241,7 +241,7 @@
 	a.writeHeaders(at, resp.Header.Get("Content-Type"))
 	x.w.WriteHeader(resp.StatusCode)
 	_, _ = x.w.Write(body)
-	x.reported(resp.StatusCode, outcome.Ran, "")
+	x.recordResult(resp.StatusCode, outcome.Ran, "")
 	x.server.Tokens.Observe(a.class, len(body)/bytesPerToken)
 	return nil
 }
@@ -347,7 +347,7 @@
 func (a *completion) finish(controller *http.ResponseController) (err error) {
 	_, err = fmt.Fprintf(a.x.w, "data: %s\n\n", doneMarker)
 	_ = controller.Flush()
-	a.x.reported(http.StatusOK, outcome.Ran, "")
+	a.x.recordResult(http.StatusOK, outcome.Ran, "")
 	a.x.server.Tokens.Observe(a.class, a.generatedTokens)
 	return err
 }
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -79,14 +79,14 @@
 
 // fail responds to the client with the problem, without waiting for the rest of the request body.
 func (x *exchange) fail(p *problem) {
-	x.reported(p.status, p.outcome, p.message)
+	x.recordResult(p.status, p.outcome, p.message)
 	x.server.setConnectionClose(x.w.Header())
 	x.body.discard()
 	p.write(x.w, x.requestID)
 }
 
-// reported records what was reported to the client.
-func (x *exchange) reported(status int, reported outcome.Outcome, problem string) {
+// recordResult records what was reported to the client.
+func (x *exchange) recordResult(status int, reported outcome.Outcome, problem string) {
 	x.decision.Status, x.decision.Outcome, x.decision.Problem = status, reported, problem
 }
 
@@ -166,7 +166,7 @@
 		x.fail(p)
 		return
 	}
-	x.reported(http.StatusOK, outcome.Ran, "")
+	x.recordResult(http.StatusOK, outcome.Ran, "")
 	s.setConnectionClose(w.Header())
 	x.body.discard()
 	writeModels(w, x.config.Models())
--- a/io/caller/plainservice.go
+++ b/io/caller/plainservice.go
@@ -40,8 +40,8 @@
 	grant         *claim.Grant
 }
 
-// plain handles a request to a plain service.
-func (s *Server) plain(w http.ResponseWriter, r *http.Request) {
+// servePlain handles a request to a plain service.
+func (s *Server) servePlain(w http.ResponseWriter, r *http.Request) {
 	x := s.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
@@ -202,10 +202,10 @@
 	h.Set(header.Outcome, string(outcome.Ran))
 	x.server.setConnectionClose(h)
 	x.w.WriteHeader(resp.StatusCode)
-	x.reported(resp.StatusCode, outcome.Ran, "")
+	x.recordResult(resp.StatusCode, outcome.Ran, "")
 	err := copyFlushing(x.w, resp.Body)
 	if err != nil {
-		x.reported(resp.StatusCode, outcome.Unknown, "the answer broke off: "+err.Error())
+		x.recordResult(resp.StatusCode, outcome.Unknown, "the answer broke off: "+err.Error())
 		x.abort = true
 	}
 	return nil
@@ -315,5 +315,5 @@
 	x.w.WriteHeader(result.Status)
 	_, _ = x.w.Write(result.Body)
 	x.firstByteAfter = time.Since(x.startedAt)
-	x.reported(result.Status, result.Outcome, "")
+	x.recordResult(result.Status, result.Outcome, "")
 }
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -89,7 +89,7 @@
 	m.HandleFunc("/v1/models", s.models).Methods(http.MethodGet)
 	m.HandleFunc("/healthz", s.healthz).Methods(http.MethodGet)
 	m.HandleFunc("/readyz", s.readyz).Methods(http.MethodGet)
-	m.PathPrefix("/").HandlerFunc(s.plain)
+	m.PathPrefix("/").HandlerFunc(s.servePlain)
 	return m
 }
 
--- a/io/endpoint/client_test.go
+++ b/io/endpoint/client_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A pooled connection dies during a POST that carries an Idempotency-Key and has no body. By itself, Go's transport
+// A pooled connection fails during a POST that carries an Idempotency-Key and has no body. By itself, Go's transport
 // sends such a request again on a new connection, and the endpoint runs it twice. The client hides the body from the
 // transport to prevent this, and must return the outcome unknown.
 func TestTransportNeverSendsTwice(t *testing.T) {
