--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -159,7 +159,7 @@
 // statusClientClosedRequest is never sent to a client; it appears only in the log.
 const statusClientClosedRequest = 499
 
-func (s *Server) models(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveModels(w http.ResponseWriter, r *http.Request) {
 	x := s.newExchange(w, r)
 	defer x.end()
 	if p := x.authenticate(); p != nil {
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -86,7 +86,7 @@
 	m := mux.NewRouter()
 	m.SkipClean(true)
 	m.HandleFunc("/v1/chat/completions", s.completions).Methods(http.MethodPost)
-	m.HandleFunc("/v1/models", s.models).Methods(http.MethodGet)
+	m.HandleFunc("/v1/models", s.serveModels).Methods(http.MethodGet)
 	m.HandleFunc("/healthz", s.healthz).Methods(http.MethodGet)
 	m.HandleFunc("/readyz", s.readyz).Methods(http.MethodGet)
 	m.PathPrefix("/").HandlerFunc(s.servePlain)
--- a/io/endpoint/client.go
+++ b/io/endpoint/client.go
@@ -80,12 +80,12 @@
 	Cause   error
 }
 
-func (f *AttemptError) Error() string {
-	return fmt.Sprintf("attempt failed (%s): %v", f.Outcome, f.Cause)
+func (e *AttemptError) Error() string {
+	return fmt.Sprintf("attempt failed (%s): %v", e.Outcome, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (f *AttemptError) Unwrap() error { return f.Cause }
+func (e *AttemptError) Unwrap() error { return e.Cause }
 
 // nonRewindableBody hides the type of the body. If a pooled connection turns out to be dead, the transport sends a
 // request again by itself when its body is empty or can be rewound, and it is a GET or carries an Idempotency-Key; the
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -20,23 +20,23 @@
 // NewMetrics creates metrics that are registered in the set on first use.
 func NewMetrics(set *metrics.Set) *Metrics { return &Metrics{set: set} }
 
-func (f *Metrics) recordServed(kind string, status int, took time.Duration) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,status="%d",reason="served"}`, kind, status)).Inc()
-	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_request_seconds{kind=%q}`, kind)).Update(took.Seconds())
+func (m *Metrics) recordServed(kind string, status int, took time.Duration) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,status="%d",reason="served"}`, kind, status)).Inc()
+	m.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_request_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
-func (f *Metrics) recordRefused(kind string, p *request.Problem) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,outcome=%q,reason=%q}`, kind, p.Outcome, p.Reason)).Inc()
+func (m *Metrics) recordRefused(kind string, p *request.Problem) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_requests_total{kind=%q,outcome=%q,reason=%q}`, kind, p.Outcome, p.Reason)).Inc()
 }
 
 // recordAttempt counts an attempt at an endpoint of the service and records how long it occupied the endpoint.
-func (f *Metrics) recordAttempt(service string, v dispatch.Verdict, took time.Duration) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_attempts_total{service=%q,verdict=%q}`, service, v)).Inc()
-	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_attempt_seconds{service=%q}`, service)).Update(took.Seconds())
+func (m *Metrics) recordAttempt(service string, v dispatch.Verdict, took time.Duration) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`savoryfall_attempts_total{service=%q,verdict=%q}`, service, v)).Inc()
+	m.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_attempt_seconds{service=%q}`, service)).Update(took.Seconds())
 }
 
-func (f *Metrics) recordFirstEvent(kind string, took time.Duration) {
-	f.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_first_event_seconds{kind=%q}`, kind)).Update(took.Seconds())
+func (m *Metrics) recordFirstEvent(kind string, took time.Duration) {
+	m.set.GetOrCreateHistogram(fmt.Sprintf(`savoryfall_first_event_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
 func (x *exchange) recordFirstEvent() {
--- a/io/http1/exchange.go
+++ b/io/http1/exchange.go
@@ -72,7 +72,7 @@
 
 // Do sends the request once and returns when the header of the response has arrived. An error is always an
 // *AttemptError.
-func (p *Pool) Do(ctx context.Context, r Request) (a *Response, err error) {
+func (p *Pool) Do(ctx context.Context, r Request) (resp *Response, err error) {
 	c, err := p.get(ctx, r.Address)
 	if err != nil {
 		return nil, &AttemptError{Err: err, Timeout: isTimeout(err)}
@@ -160,21 +160,21 @@
 }
 
 // Read reads the body. It returns io.EOF only if the body is complete.
-func (a *Response) Read(p []byte) (n int, err error) {
-	n, err = a.raw.Body.Read(p)
+func (r *Response) Read(p []byte) (n int, err error) {
+	n, err = r.raw.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.complete = true
+		r.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
-		a.readFailed = true
+		r.readFailed = true
 	}
 	return n, err
 }
 
 // ReadAll reads the whole body. It fails if the body is larger than limit bytes.
-func (a *Response) ReadAll(limit int64) (body []byte, err error) {
-	body, err = io.ReadAll(io.LimitReader(a, limit+1))
+func (r *Response) ReadAll(limit int64) (body []byte, err error) {
+	body, err = io.ReadAll(io.LimitReader(r, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		return nil, fmt.Errorf("response is larger than %d bytes", limit)
 	}
@@ -182,32 +182,32 @@
 }
 
 // SetDeadline changes the deadline for reading the response.
-func (a *Response) SetDeadline(t time.Time) { _ = a.conn.SetReadDeadline(t) }
+func (r *Response) SetDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
 
 // Close returns the connection to the pool if the response was read completely and no further bytes have arrived, and
 // closes it otherwise: the next request must not receive bytes that follow the response, or those of a response that
 // was not read to its end.
-func (a *Response) Close() {
-	if a.conn == nil {
+func (r *Response) Close() {
+	if r.conn == nil {
 		return
 	}
-	c := a.conn
-	a.conn = nil
-	if !a.stop() || !a.complete || a.readFailed || a.raw.Close || !a.framed() || !a.requestWritten() || c.r.Buffered() > 0 {
+	c := r.conn
+	r.conn = nil
+	if !r.stop() || !r.complete || r.readFailed || r.raw.Close || !r.framed() || !r.requestWritten() || c.r.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	a.pool.put(c, keepAliveTimeout(a.raw.Header))
+	r.pool.put(c, keepAliveTimeout(r.raw.Header))
 }
 
-func (a *Response) framed() bool { return a.raw.ContentLength >= 0 || len(a.raw.TransferEncoding) > 0 }
+func (r *Response) framed() bool { return r.raw.ContentLength >= 0 || len(r.raw.TransferEncoding) > 0 }
 
 // requestWritten reports whether the whole request was sent. An endpoint may respond before it has read a long body and
 // read the rest later: it would take the next request on the connection for a part of that body.
-func (a *Response) requestWritten() bool {
+func (r *Response) requestWritten() bool {
 	select {
-	case err := <-a.writeResult:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 		return false
--- a/io/http1/pool.go
+++ b/io/http1/pool.go
@@ -111,11 +111,11 @@
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) (err error) {
-	failed := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
-	if failed != nil {
-		return failed
+	if controlErr != nil {
+		return controlErr
 	}
 	return err
 }
@@ -135,8 +135,8 @@
 	}
 	var peek [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, failed := unix.Recvfrom(int(fd), peek[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		ok = failed == unix.EAGAIN
+		_, _, recvErr := unix.Recvfrom(int(fd), peek[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		ok = recvErr == unix.EAGAIN
 		return true
 	})
 	return ok && err == nil
--- a/io/hub/compress.go
+++ b/io/hub/compress.go
@@ -80,23 +80,23 @@
 
 // compress returns the record in compressed form together with the others, and without its data if it is the one at
 // heldOffset, which the receiver holds.
-func (p *compressionCache) compress(r *compactedlog.Record, heldOffset int64, others []compactedlog.Record) (c *CompressedConfiguration, err error) {
+func (cache *compressionCache) compress(r *compactedlog.Record, heldOffset int64, others []compactedlog.Record) (c *CompressedConfiguration, err error) {
 	if r == nil {
 		return nil, nil
 	}
 	if r.Offset == heldOffset {
 		return &CompressedConfiguration{Key: r.Key, Offset: r.Offset, Beside: others}, nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.source != r {
-		p.compressed, err = compress(r)
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	if cache.source != r {
+		cache.compressed, err = compress(r)
 		if err != nil {
 			return nil, err
 		}
-		p.source = r
+		cache.source = r
 	}
-	withOthers := *p.compressed
+	withOthers := *cache.compressed
 	withOthers.Beside = others
 	return &withOthers, nil
 }
