--- a/io/claims/doc.go
+++ b/io/claims/doc.go
@@ -1,3 +1,3 @@
-// Package claims ensures that requests with an idempotency key run at most once, by claiming each key with a record on
-// the platform's log.
+// Package claims ensures that requests which must not be repeated run at most once, by claiming their idempotency keys
+// with records on the platform's log.
 package claims
--- a/io/clientconn/closereason.go
+++ b/io/clientconn/closereason.go
@@ -33,7 +33,7 @@
 }
 
 // Local reports whether this process closed the connection.
-func (e CloseReason) Local() bool { return e == IdleTimeout || e == HeaderTimeout || e == Stopped }
+func (r CloseReason) Local() bool { return r == IdleTimeout || r == HeaderTimeout || r == Stopped }
 
 // readCloseReason returns what a read error says about the peer. A timeout and a closed connection say nothing.
 func readCloseReason(err error) CloseReason {
--- a/io/clientconn/conn.go
+++ b/io/clientconn/conn.go
@@ -196,9 +196,9 @@
 }
 
 // setCloseReason records why the connection was closed. Only the first reason is kept.
-func (c *Conn) setCloseReason(e CloseReason) {
+func (c *Conn) setCloseReason(reason CloseReason) {
 	if c.closeReason == "" {
-		c.closeReason = e
+		c.closeReason = reason
 	}
 }
 
--- a/io/clientconn/set.go
+++ b/io/clientconn/set.go
@@ -216,8 +216,8 @@
 }
 
 // ClosedBy returns how many connections were closed for the reason.
-func (s *Set) ClosedBy(e CloseReason) uint64 {
+func (s *Set) ClosedBy(reason CloseReason) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closeCounts[e]
+	return s.closeCounts[reason]
 }
--- a/io/hub/columns.go
+++ b/io/hub/columns.go
@@ -6,8 +6,8 @@
 	"savoryfall/core/fleetload"
 )
 
-// LoadColumns is the wire format of a list of loads. A list of rows would take at least a byte for each field, and most
-// fields are zero.
+// LoadColumns is the wire format of a list of loads. If the loads were encoded one by one, the codec would spend a byte
+// on each field, and most fields are zero.
 type LoadColumns struct {
 	Endpoints []uint32
 	Running   []int32
