--- a/io/claims/doc.go
+++ b/io/claims/doc.go
@@ -1,3 +1,3 @@
-// Package claims claims the idempotency keys of requests that may run at most once, through records on the platform's
-// log.
+// Package claims ensures that requests which must not be repeated run at most once, by claiming their idempotency keys
+// with records on the platform's log.
 package claims
--- a/io/clientconn/closereason.go
+++ b/io/clientconn/closereason.go
@@ -33,7 +33,7 @@
 }
 
 // Local reports whether this process closed the connection.
-func (e CloseReason) Local() bool { return e == IdleTimeout || e == HeaderTimeout || e == Stopped }
+func (r CloseReason) Local() bool { return r == IdleTimeout || r == HeaderTimeout || r == Stopped }
 
 // readCloseReason returns what a read error says about the peer. A timeout and a closed connection say nothing.
 func readCloseReason(err error) CloseReason {
@@ -48,7 +48,7 @@
 	return KeepAliveFailed
 }
 
-// writeCloseReason does the same for a write error. A write times out if the peer does not read.
+// writeCloseReason returns what a write error says about the peer. A write times out if the peer does not read.
 func writeCloseReason(err error) CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return WriteTimeout
