--- a/io/command/demoplatform.go
+++ b/io/command/demoplatform.go
@@ -60,13 +60,13 @@
 	}
 	d.store.Put("keyed.op", "config", []byte(demoConfiguration))
 	for i := range demoEngines {
-		err = d.addServer(fakeendpoint.Options{ID: fmt.Sprint("engine", i), Service: "models", Slots: 32, Events: 40, EventTime: 30 * time.Millisecond})
+		err = d.addEndpoint(fakeendpoint.Options{ID: fmt.Sprint("engine", i), Service: "models", Slots: 32, Events: 40, EventTime: 30 * time.Millisecond})
 		if err != nil {
 			return err
 		}
 	}
 	for i := range demoServices {
-		err = d.addServer(fakeendpoint.Options{ID: fmt.Sprint("plain", i), Service: "plain", Slots: 6, ResponseTime: 15 * time.Millisecond})
+		err = d.addEndpoint(fakeendpoint.Options{ID: fmt.Sprint("plain", i), Service: "plain", Slots: 6, ResponseTime: 15 * time.Millisecond})
 		if err != nil {
 			return err
 		}
@@ -97,7 +97,7 @@
 	return l.Addr().String(), nil
 }
 
-func (d *platformDemo) addServer(o fakeendpoint.Options) (err error) {
+func (d *platformDemo) addEndpoint(o fakeendpoint.Options) (err error) {
 	var s *fakeendpoint.Endpoint
 	o.FailureDomain = "demo"
 	o.Address, err = d.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.ServeHTTP(w, r) }))
--- a/io/command/entryvm.go
+++ b/io/command/entryvm.go
@@ -129,9 +129,9 @@
 	vm.updateRetryLimits()
 }
 
-// counted receives the hashes of the names of all routers, which divide the retry budget and the request limits
-// of cold endpoints among themselves.
-func (vm *entryVM) counted(routers []uint64) {
+// setRouters sets the routers of the fleet, as hashes of their names. Each of them gets a share of the retry budget and
+// of the request limits of cold endpoints.
+func (vm *entryVM) setRouters(routers []uint64) {
 	vm.routers.Store(int64(len(routers)))
 	vm.dispatcher.SetFleet(coldlimit.New(members.Hash(vm.settings.VM().Name()), routers))
 	vm.updateRetryLimits()
@@ -144,8 +144,8 @@
 }
 
 func (vm *entryVM) buildStore() (err error) {
-	counted := traffic.New(vm.metricSet)
-	storeClient := store.New(vm.settings.StoreAddress(), &http.Client{Transport: counted.CountCalls(traffic.KindLog, storeTransport(counted))})
+	meter := traffic.New(vm.metricSet)
+	storeClient := store.New(vm.settings.StoreAddress(), &http.Client{Transport: meter.CountCalls(traffic.KindLog, storeTransport(meter))})
 	vm.configTracker = storeconfig.New(wiredesired.Decoder{}, &vm.lease, vm.onConfiguration, vm.logger)
 	staleAfter := time.Duration(staleFraction * float64(vm.settings.ChangesWithin()))
 	vm.drainTracker = draining.New(evacuation.Decoder{}, vm.dispatcher, vm.logger)
@@ -154,13 +154,13 @@
 		Clock: bootclock.Now,
 	}, vm.logger)
 	vm.manager.Register("configuration", configurationFollower)
-	endpointRegistry := registry.New(wireregistry.Decoder{}, vm.listed, vm.logger)
-	listed := follow.New(storeClient.Topic(wireregistry.Topic), endpointRegistry, follow.Options{
+	endpointRegistry := registry.New(wireregistry.Decoder{}, vm.setEndpoints, vm.logger)
+	registryFollower := follow.New(storeClient.Topic(wireregistry.Topic), endpointRegistry, follow.Options{
 		Name: "registry", MinInterval: registryMinInterval, MaxAge: staleAfter, StartupWait: startupWait, Clock: bootclock.Now,
 	}, vm.logger)
-	vm.manager.Register("registry", listed)
+	vm.manager.Register("registry", registryFollower)
 	vm.metricSet.NewGauge("savoryfall_registry_age_seconds", func() float64 {
-		_, confirmedAt, known := listed.Position()
+		_, confirmedAt, known := registryFollower.Position()
 		if !known {
 			return -1
 		}
@@ -174,9 +174,9 @@
 		},
 		ListenAddress: vm.settings.PeerAddress(),
 		Members:       &members.List{}, Configuration: configurationFollower, CurrentRecord: vm.configTracker.Record,
-		OtherRecords: vm.drainTracker.Records, Registry: listed, Endpoints: endpointRegistry,
-		Loads: vm.dispatcher, RouterList: hub.NewRouterList(storeClient.Topic(store.RoutersTopic)), Bootstrap: vm.settings.Bootstrap(), Meter: counted,
-		Logger: vm.logger, Clock: bootclock.Now, StaleAfter: staleAfter, OnRoutersChanged: vm.counted,
+		OtherRecords: vm.drainTracker.Records, Registry: registryFollower, Endpoints: endpointRegistry,
+		Loads: vm.dispatcher, RouterList: hub.NewRouterList(storeClient.Topic(store.RoutersTopic)), Bootstrap: vm.settings.Bootstrap(), Meter: meter,
+		Logger: vm.logger, Clock: bootclock.Now, StaleAfter: staleAfter, OnRoutersChanged: vm.setRouters,
 	})
 	if err != nil {
 		return err
@@ -203,8 +203,8 @@
 // storeDialTimeout bounds connecting to the store, which normally takes a few milliseconds.
 const storeDialTimeout = 500 * time.Millisecond
 
-func (vm *entryVM) onConfiguration(t *routetable.Table) { vm.dispatcher.Configure(t) }
-func (vm *entryVM) listed(usable []directory.Entry)     { vm.dispatcher.Update(usable, time.Now()) }
+func (vm *entryVM) onConfiguration(t *routetable.Table)   { vm.dispatcher.Configure(t) }
+func (vm *entryVM) setEndpoints(usable []directory.Entry) { vm.dispatcher.Update(usable, time.Now()) }
 
 func (vm *entryVM) buildHandler() (err error) {
 	tracer, err := vm.tracer()
@@ -241,7 +241,7 @@
 // metricsServerName is the registered name of the server that exposes the metrics.
 const metricsServerName = "metrics"
 
-// readinessPath is the load balancer's health check: whether this router accepts new clients.
+// readinessPath is the path of the load balancer's readiness check: whether this router accepts new clients.
 const readinessPath = clientapi.ReadinessPath
 
 func (vm *entryVM) buildOperatorServers() (err error) {
@@ -290,9 +290,9 @@
 			return float64(count(vm.clientServer.Connections().Counts()))
 		})
 	}
-	for _, ending := range clientconn.CloseReasons() {
-		vm.metricSet.NewGauge(fmt.Sprintf("savoryfall_client_connections_ended_total{by=%q}", ending), func() float64 {
-			return float64(vm.clientServer.Connections().ClosedBy(ending))
+	for _, reason := range clientconn.CloseReasons() {
+		vm.metricSet.NewGauge(fmt.Sprintf("savoryfall_client_connections_ended_total{by=%q}", reason), func() float64 {
+			return float64(vm.clientServer.Connections().ClosedBy(reason))
 		})
 	}
 }
@@ -313,8 +313,8 @@
 	}
 }
 
-// writeServiceGauges writes, for each service of the configuration, this router's remaining retries, and the service's
-// places (its admission limit) and how many of them are taken.
+// writeServiceGauges writes three metrics for each service of the configuration: this router's remaining retries, the
+// service's admission limit (places), and how much of the limit is in use.
 func (vm *entryVM) writeServiceGauges(w io.Writer) {
 	t := vm.configTracker.Current()
 	if t == nil {
--- a/io/command/release.go
+++ b/io/command/release.go
@@ -195,8 +195,8 @@
 
 const publishAttempts = 3
 
-// publishReleaseNote may append the release note more than once when a response is lost. This is safe, since it is
-// applied once by its ID.
+// publishReleaseNote may append the release note more than once when a response is lost. This is safe, because routers
+// apply each ID only once.
 func publishReleaseNote(ctx context.Context, s streams, f releaseFlags, args []string) (err error) {
 	n, err := readReleaseNote(args)
 	if err != nil {
--- a/io/command/session_test.go
+++ b/io/command/session_test.go
@@ -52,7 +52,8 @@
 	})
 }
 
-// The ports are below the system's ephemeral range, so that no other socket takes one between the choice and the use.
+// nextPort is the next port for a script. The ports are below the system's ephemeral range, so that no other socket
+// takes one between the choice and the use.
 var nextPort atomic.Int64
 
 const (
--- a/io/httpserver/server.go
+++ b/io/httpserver/server.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// sweepPeriod returns the period of the sweep. A late header is detected by the second sweep, so half the timeout
-// ends its connection within twice the timeout.
+// sweepPeriod returns the period of the sweep. A late header is detected by the second sweep, so half the timeout ends
+// its connection within twice the timeout.
 func (s *Server) sweepPeriod() time.Duration {
 	if headerTimeout := s.options.HeaderTimeout; headerTimeout > 0 {
 		return max(min(headerTimeout/2, maxSweepPeriod), minSweepPeriod)
@@ -99,9 +99,9 @@
 	}
 }
 
-// Stop accepts no new connections, closes those without a request, lets requests that are being read or served
-// finish, and closes the remaining connections when the context ends. Shutdown of http.Server is not used because it
-// closes connections on which a request is being read, and drops requests that it has read.
+// Stop accepts no new connections, closes those without a request, lets requests that are being read or served finish,
+// and closes the remaining connections when the context ends. Shutdown of http.Server is not used because it closes
+// connections on which a request is being read, and drops requests that it has read.
 func (s *Server) Stop(ctx context.Context) (err error) {
 	defer annotate.Error(&err, "stop server on %s", s.Address())
 	s.stopped.Store(true)
--- a/io/httpserver/server_test.go
+++ b/io/httpserver/server_test.go
@@ -177,9 +177,8 @@
 }
 
 // Guards against a planned stop that drops a request: the request has been read completely from the socket, but its
-// goroutine has not continued because the VM gets no CPU time for a moment. Shutdown of net/http drops such a
-// request, on new and on keep-alive connections, and the client sees only a closed connection, with no log line and
-// no metric.
+// goroutine has not continued because the VM gets no CPU time for a moment. Shutdown of net/http drops such a request,
+// on new and on keep-alive connections, and the client sees only a closed connection, with no log line and no metric.
 func TestStopServesCompletelyReadRequests(t *testing.T) {
 	forEachConnection(t, func(t *testing.T, s *testServer, c *client) {
 		before := s.handled.Load()
@@ -217,8 +216,8 @@
 	})
 }
 
-// A planned stop must not wait for connections without a request: a keep-alive connection is closed at once, and a
-// new one, even if it has only completed its TLS handshake, when its client has had time to send a request.
+// A planned stop must not wait for connections without a request: a keep-alive connection is closed at once, and a new
+// one, even if it has only completed its TLS handshake, when its client has had time to send a request.
 func TestStopDoesNotWaitForConnectionsWithoutARequest(t *testing.T) {
 	forEachConnection(t, func(t *testing.T, s *testServer, c *client) {
 		const enough = 2 * time.Second
@@ -228,8 +227,7 @@
 	})
 }
 
-// If the handler does not respond before the context of Stop ends, the connection is closed and Stop returns the
-// error.
+// If the handler does not respond before the context of Stop ends, the connection is closed and Stop returns the error.
 func TestStopClosesConnectionsWhenContextEnds(t *testing.T) {
 	s := newTestServer(t, Options{})
 	s.hold = make(chan struct{})
@@ -258,8 +256,8 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// A client that does not finish its header, or is silent after the TLS handshake, is disconnected soon after the
-// header timeout.
+// A client that does not finish its header, or is silent after the TLS handshake, is disconnected soon after the header
+// timeout.
 func TestHeaderTimeoutClosesConnection(t *testing.T) {
 	const limit = 200 * time.Millisecond
 	for name, partial := range map[string]string{"plain": "POST / HTTP/1.1\r\n", "TLS": ""} {
--- a/io/leases/manager.go
+++ b/io/leases/manager.go
@@ -65,11 +65,11 @@
 func (m *Manager) MayAct(duty string) (fence int64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.trackers[duty]
-	if c == nil {
+	tracker := m.trackers[duty]
+	if tracker == nil {
 		return 0, false
 	}
-	return c.MayAct(time.Now())
+	return tracker.MayAct(time.Now())
 }
 
 // Start follows the stream and renews leases in the background until Stop is called.
@@ -101,10 +101,10 @@
 func (m *Manager) releaseAll() (records []lease.Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for duty, c := range m.trackers {
-		if c.Holds() {
-			records = append(records, lease.Record{Kind: lease.KindRelease, Duty: duty, Holder: m.self, Fence: c.Current().Fence})
-			c.Relinquish()
+	for duty, tracker := range m.trackers {
+		if tracker.Holds() {
+			records = append(records, lease.Record{Kind: lease.KindRelease, Duty: duty, Holder: m.self, Fence: tracker.Current().Fence})
+			tracker.Relinquish()
 		}
 	}
 	return records
@@ -165,11 +165,11 @@
 		return
 	}
 	now := time.Now()
-	for duty, c := range m.trackers {
+	for duty, tracker := range m.trackers {
 		l, known := m.table.Lease(duty)
-		held := c.Holds()
-		c.Observe(l, known, now)
-		if c.Holds() != held {
+		held := tracker.Holds()
+		tracker.Observe(l, known, now)
+		if tracker.Holds() != held {
 			_ = m.logger.Log("event", "lease", "duty", duty, "held", !held, "holder", l.Holder, "fence", l.Fence)
 		}
 	}
@@ -192,12 +192,12 @@
 	if m.caughtUp {
 		m.updateTrackers()
 	}
-	for duty, c := range m.trackers {
-		if !c.Holds() && !m.assigned(duty) {
+	for duty, tracker := range m.trackers {
+		if !tracker.Holds() && !m.assigned(duty) {
 			continue
 		}
-		if r, ok := c.NextRecord(now); ok {
-			records = append(records, c.BeginAppend(r, time.Now()))
+		if r, ok := tracker.NextRecord(now); ok {
+			records = append(records, tracker.BeginAppend(r, time.Now()))
 		}
 	}
 	return records
--- a/io/loadtest/requests.go
+++ b/io/loadtest/requests.go
@@ -36,12 +36,12 @@
 // was complete, schedules the chat's next turn.
 func (r *Run) runTurn(ctx context.Context, c *chat) {
 	messages := encodeMessages(c.messages)
-	prompt, knowable := r.idealCache.LookUp(messages)
+	prompt, knowable := r.referenceCache.LookUp(messages)
 	began := time.Now()
 	result, err := r.requestCompletion(context.WithoutCancel(ctx), c, messages)
 	took := time.Since(began)
 	if result.complete {
-		r.idealCache.Add(encodeMessages(append(c.messages, message{Role: "assistant", Content: result.text})))
+		r.referenceCache.Add(encodeMessages(append(c.messages, message{Role: "assistant", Content: result.text})))
 	}
 	r.recordTurn(c, result, err, prompt, knowable, took, messages)
 	if !result.complete {
--- a/io/loadtest/run.go
+++ b/io/loadtest/run.go
@@ -24,7 +24,7 @@
 	policy           string
 	extraSettings    map[string]string
 	fleet            *fleet.Fleet
-	idealCache       *engine.ReferenceCache
+	referenceCache   *engine.ReferenceCache
 	client           *http.Client
 	stats            *stats
 	mu               sync.Mutex
@@ -55,15 +55,15 @@
 	if err != nil {
 		return nil, err
 	}
-	r.idealCache = engine.NewReferenceCache(r.plan.Engine.CacheTokens * r.plan.Fleet.Engines)
+	r.referenceCache = engine.NewReferenceCache(r.plan.Engine.CacheTokens * r.plan.Fleet.Engines)
 	r.started = time.Now()
 	r.drive(ctx)
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	report = r.stats.finalize(r.plan.Duration - r.plan.Warmup)
 	report.Policy = r.policy
 	r.countDuplicates(report)
-	return report, r.fleet.Stop(stop)
+	return report, r.fleet.Stop(stopCtx)
 }
 
 func (r *Run) options() fleet.Options {
@@ -160,8 +160,8 @@
 	}
 }
 
-// applyChurn kills, drains or starts an engine. When an engine is lost, the ideal cache loses one engine's share of its
-// content.
+// applyChurn kills, drains or starts an engine. When an engine is lost, the reference cache loses one engine's share of
+// its content.
 func (r *Run) applyChurn(ctx context.Context, c loadplan.Churn) {
 	name := fmt.Sprintf("engine-%02d", c.Engine)
 	share := 1 / float64(r.plan.Fleet.Engines)
@@ -170,11 +170,11 @@
 	case loadplan.ActionKill:
 		r.fleet.KillEngine(name)
 		r.setExcluded(name, true)
-		r.idealCache.EvictShare(share, random)
+		r.referenceCache.EvictShare(share, random)
 	case loadplan.ActionLeave:
 		r.fleet.Engine(name).SetFaults(engine.Faults{Leaving: true})
 		r.setExcluded(name, true)
-		r.idealCache.EvictShare(share, random)
+		r.referenceCache.EvictShare(share, random)
 	case loadplan.ActionStart:
 		address := r.fleet.KillEngine(name)
 		if r.fleet.StartEngine(ctx, name, address) == nil {
--- a/io/loadtest/sample.go
+++ b/io/loadtest/sample.go
@@ -10,7 +10,7 @@
 const (
 	samplePeriod     = 100 * time.Millisecond
 	samplesPerWindow = 10
-	// minMeanRequests is the mean number of requests per engine from which on a window counts for the skew. With fewer,
+	// minMeanRequests is the minimum mean number of requests per engine for a window to count for the skew. With fewer,
 	// a single request on one engine is far above the mean.
 	minMeanRequests = 20
 )
@@ -26,8 +26,8 @@
 	return &window{requests: map[string]float64{}, tokens: map[string]float64{}}
 }
 
-// sample reads the true load from the engines themselves ten times a second, which no router can see, and records the
-// control traffic of the run at its end.
+// sample reads the actual load, which no router knows, from the engines ten times a second. At the end of the run it
+// records the control traffic.
 func (r *Run) sample(ctx context.Context) {
 	tick := time.NewTicker(samplePeriod)
 	defer tick.Stop()
--- a/io/operator/api.go
+++ b/io/operator/api.go
@@ -45,16 +45,16 @@
 }
 
 // New returns an API with the given dependencies.
-func New(p Dependencies) *API { return &API{Dependencies: p} }
+func New(d Dependencies) *API { return &API{Dependencies: d} }
 
 // Handler returns the handler of all routes of the API.
-func (d *API) Handler() http.Handler {
+func (a *API) Handler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc("/status", d.status).Methods(http.MethodGet)
-	m.HandleFunc("/explain/{request}", d.explain).Methods(http.MethodGet)
-	m.HandleFunc("/release", d.release).Methods(http.MethodGet)
-	m.HandleFunc("/notes/{note}", d.releaseNote).Methods(http.MethodGet)
-	m.HandleFunc("/metrics", d.metrics).Methods(http.MethodGet)
+	m.HandleFunc("/status", a.status).Methods(http.MethodGet)
+	m.HandleFunc("/explain/{request}", a.explain).Methods(http.MethodGet)
+	m.HandleFunc("/release", a.release).Methods(http.MethodGet)
+	m.HandleFunc("/notes/{note}", a.releaseNote).Methods(http.MethodGet)
+	m.HandleFunc("/metrics", a.metrics).Methods(http.MethodGet)
 	return m
 }
 
@@ -89,51 +89,51 @@
 	Address     string       `json:"address"`
 }
 
-func (d *API) status(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, d.Status())
+func (a *API) status(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, a.Status())
 }
 
 // Status returns the current state of this router.
-func (d *API) Status() (s Status) {
+func (a *API) Status() (s Status) {
 	s = Status{
-		VM: d.VM, FailureDomain: d.FailureDomain, Ready: d.Configuration.Ready(), Draining: d.Draining(),
-		Release: d.activeRelease(), Members: d.Members.Peers(), Waiting: d.Waiting(), Claims: d.Claims(),
+		VM: a.VM, FailureDomain: a.FailureDomain, Ready: a.Configuration.Ready(), Draining: a.Draining(),
+		Release: a.activeRelease(), Members: a.Members.Peers(), Waiting: a.Waiting(), Claims: a.Claims(),
 		ControlBytes: map[string]uint64{},
 	}
 	for _, k := range traffic.AllKinds {
-		sent, received := d.Meter.Bytes(k)
+		sent, received := a.Meter.Bytes(k)
 		s.ControlBytes[string(k)] = sent + received
 	}
-	c := d.Configuration.Current()
+	c := a.Configuration.Current()
 	now := time.Now()
-	for _, l := range d.Ledger.States() {
+	for _, l := range a.Ledger.States() {
 		e, _ := c.Endpoint(l.Endpoint)
 		s.Endpoints = append(s.Endpoints, Endpoint{
-			EndpointState: l, Health: d.Health.State(l.Endpoint, now), Incarnation: d.Health.Incarnation(l.Endpoint),
+			EndpointState: l, Health: a.Health.State(l.Endpoint, now), Incarnation: a.Health.Incarnation(l.Endpoint),
 			Address: e.Address(),
 		})
 	}
 	return s
 }
 
-func (d *API) activeRelease() (r Release) {
-	c := d.Configuration.Current()
+func (a *API) activeRelease() (r Release) {
+	c := a.Configuration.Current()
 	r = Release{Next: c.NextOffset(), Note: c.CurrentNoteID(), Digest: c.Digest()}
-	r.AppliedAt, r.Source = d.Configuration.AppliedAt()
+	r.AppliedAt, r.Source = a.Configuration.AppliedAt()
 	return r
 }
 
-func (d *API) explain(w http.ResponseWriter, r *http.Request) {
-	found, ok := d.Decisions.Find(mux.Vars(r)["request"])
+func (a *API) explain(w http.ResponseWriter, r *http.Request) {
+	d, ok := a.Decisions.Find(mux.Vars(r)["request"])
 	if !ok {
 		http.Error(w, "this router has no decision for this request", http.StatusNotFound)
 		return
 	}
-	writeJSON(w, found)
+	writeJSON(w, d)
 }
 
-func (d *API) release(w http.ResponseWriter, _ *http.Request) {
-	data, err := d.Configuration.Current().Snapshot()
+func (a *API) release(w http.ResponseWriter, _ *http.Request) {
+	data, err := a.Configuration.Current().Snapshot()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -148,13 +148,13 @@
 	Refusal string `json:"refusal,omitempty"`
 }
 
-func (d *API) releaseNote(w http.ResponseWriter, r *http.Request) {
-	refusal, known := d.Configuration.Current().Refusal(mux.Vars(r)["note"])
+func (a *API) releaseNote(w http.ResponseWriter, r *http.Request) {
+	refusal, known := a.Configuration.Current().Refusal(mux.Vars(r)["note"])
 	writeJSON(w, NoteStatus{Known: known, Refusal: refusal})
 }
 
-func (d *API) metrics(w http.ResponseWriter, _ *http.Request) {
-	d.Metrics.WritePrometheus(w)
+func (a *API) metrics(w http.ResponseWriter, _ *http.Request) {
+	a.Metrics.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
--- a/io/router/router.go
+++ b/io/router/router.go
@@ -243,7 +243,7 @@
 }
 
 // poolLimit returns this router's share of the concurrent requests that a pool may have. All routers have the same
-// part, because the load balancer distributes callers evenly.
+// share, because the load balancer distributes callers evenly.
 func (r *Router) poolLimit(pool string) int {
 	total := r.ledger().Capacity(pool, r.settings.Limits().RequestsPerEndpoint())
 	return max(total/r.members().Count(), 1)
--- a/io/router/snapshots.go
+++ b/io/router/snapshots.go
@@ -19,7 +19,7 @@
 	retention time.Duration
 	logger    log.Logger
 	cancel    context.CancelFunc
-	running   background.Group
+	tasks     background.Group
 }
 
 const (
@@ -33,13 +33,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	period := min(s.retention/checksPerRetention, maxCheckInterval)
-	s.running.Go(func() { background.Every(ctx, period, func(now time.Time) { s.writeIfDue(ctx, now) }) })
+	s.tasks.Go(func() { background.Every(ctx, period, func(now time.Time) { s.writeIfDue(ctx, now) }) })
 	return nil
 }
 
 func (s *snapshotWriter) Stop(context.Context) error {
 	s.cancel()
-	s.running.Stop()
+	s.tasks.Stop()
 	return nil
 }
 
--- a/io/router/vmwatcher.go
+++ b/io/router/vmwatcher.go
@@ -21,7 +21,7 @@
 	logger  log.Logger
 	etag    string
 	cancel  context.CancelFunc
-	running background.Group
+	tasks   background.Group
 }
 
 const vmListTimeout = 5 * time.Second
@@ -30,13 +30,13 @@
 	w.poll(ctx)
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
-	w.running.Go(func() { background.Every(ctx, w.period, func(time.Time) { w.poll(ctx) }) })
+	w.tasks.Go(func() { background.Every(ctx, w.period, func(time.Time) { w.poll(ctx) }) })
 	return nil
 }
 
 func (w *vmWatcher) Stop(context.Context) error {
 	w.cancel()
-	w.running.Stop()
+	w.tasks.Stop()
 	return nil
 }
 
