--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -93,8 +93,8 @@
 	return text
 }
 
-// checkRuns verifies that a non-repeatable request runs at most once, and that a request whose status says that it did
-// not run has not run.
+// checkRuns verifies that a request that must not be retried runs at most once, and that a request whose status says
+// that it did not run has not run.
 func (h *harness) checkRuns(q *request) {
 	if q.route != "book" && q.route != "talk" {
 		return
@@ -175,7 +175,7 @@
 	}
 }
 
-// checkAcceptsWhileStopping verifies that it accepts new connections for just as long.
+// checkAcceptsWhileStopping verifies that a stopping router accepts new connections for just as long.
 func (h *harness) checkAcceptsWhileStopping() {
 	for _, r := range h.routers {
 		for _, at := range r.refusedDials {
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -41,8 +41,8 @@
 type idleBehavior int
 
 const (
-	// idlesBriefly is a few milliseconds and idlesWithinLimit up to the idle limit. idlesPastLimit exceeds the limit,
-	// so the request may arrive while the router is closing the connection.
+	// idlesBriefly means a few milliseconds, idlesWithinLimit at most the idle limit, and idlesPastLimit longer than
+	// the limit, so that the request may arrive while the router is closing the connection.
 	idlesBriefly idleBehavior = iota
 	idlesWithinLimit
 	idlesPastLimit
--- a/soak/endpoints_test.go
+++ b/soak/endpoints_test.go
@@ -12,7 +12,7 @@
 	"savoryfall/platform/standin/fakeendpoint"
 )
 
-// endpoint is one stand-in server behind its link. The next endpoint reuses the link's address.
+// endpoint is a fake endpoint behind a link. An endpoint that replaces it reuses the link, and so its address.
 type endpoint struct {
 	*fakeendpoint.Endpoint
 	options fakeendpoint.Options
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -29,8 +29,8 @@
 func (h *harness) disturbed(r *router, from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, t := range h.faults {
-		if !t.planned && (t.target == "" || t.target == r.name) && t.to.Add(settleTime).After(from) && t.from.Before(to) {
+	for _, f := range h.faults {
+		if !f.planned && (f.target == "" || f.target == r.name) && f.to.Add(settleTime).After(from) && f.from.Before(to) {
 			return true
 		}
 	}
@@ -41,8 +41,8 @@
 func (h *harness) stopping(r *router, from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, t := range h.faults {
-		if t.kind == stopFault && t.target == r.name && t.to.After(from) && t.from.Before(to) {
+	for _, f := range h.faults {
+		if f.kind == stopFault && f.target == r.name && f.to.After(from) && f.from.Before(to) {
 			return true
 		}
 	}
@@ -234,9 +234,9 @@
 	planned.Go(func() { h.drainEndpoint(h.liveEndpoints(modelService)[0]) })
 	planned.Go(func() { h.drainEndpoint(h.liveEndpoints(plainService)[0]) })
 	h.writeConfiguration(longIdleLimit)
-	lower := configurationDelay + time.Second + time.Duration(h.random.IntN(1000))*time.Millisecond
+	lowerAfter := configurationDelay + time.Second + time.Duration(h.random.IntN(1000))*time.Millisecond
 	planned.Go(func() {
-		<-time.After(lower)
+		<-time.After(lowerAfter)
 		h.writeConfiguration(shortIdleLimit)
 	})
 	r := h.routers[h.random.IntN(len(h.routers))]
--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -113,7 +113,7 @@
 		h.startEndpoint(h.endpointOptions(modelService), nil)
 		h.startEndpoint(h.endpointOptions(plainService), nil)
 	}
-	for i := range number("SOAK_ROUTERS", 3) {
+	for i := range intFromEnv("SOAK_ROUTERS", 3) {
 		r := h.newRouter(i)
 		h.routers = append(h.routers, r)
 		h.start(r)
@@ -127,7 +127,7 @@
 	}
 	// Faults that begin before any router serves would find routers that refuse every request, and test nothing.
 	h.recover()
-	for range number("SOAK_ROUNDS", 1) {
+	for range intFromEnv("SOAK_ROUNDS", 1) {
 		h.injectFaults()
 		h.recover()
 		h.makePlannedChanges()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,8 +17,8 @@
 // SOAK_ROUTERS sets the number of routers, and SOAK_ROUNDS the number of fault phases.
 func TestSoak(t *testing.T) {
 	binary := buildRouter(t)
-	first := number("SOAK_FIRST", 1)
-	for seed := first; seed < first+number("SOAK_SEEDS", 1); seed++ {
+	first := intFromEnv("SOAK_FIRST", 1)
+	for seed := first; seed < first+intFromEnv("SOAK_SEEDS", 1); seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			h := runSeed(t, binary, uint64(seed))
@@ -37,8 +37,8 @@
 	return binary
 }
 
-// number returns the integer value of an environment variable, or the fallback if it has none.
-func number(name string, fallback int) int {
+// intFromEnv returns the integer value of an environment variable, or the fallback if it has none.
+func intFromEnv(name string, fallback int) int {
 	n, err := strconv.Atoi(os.Getenv(name))
 	if err != nil {
 		return fallback
--- a/soak/variants_test.go
+++ b/soak/variants_test.go
@@ -15,7 +15,8 @@
 	file, text, replacement string
 }
 
-// Each variant has a defect that would harm clients or endpoints; the soak test has to detect it within five seeds.
+// variants holds the variants by name. Each one has a defect that would harm clients or endpoints, which the soak test
+// has to detect within five seeds.
 var variants = map[string]variant{
 	"withdrawnKeysNeverExpire": {
 		"core/freshness/lease.go", "return known && age < time.Duration(l.term.Load())", "return known && age >= 0",
