--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -103,8 +103,8 @@
 	if n > 1 {
 		h.addViolation("%s %s ran %d times", q.route, q.id, n)
 	}
-	promises := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
-	if n > 0 && slices.Contains(promises, q.answer.Status) {
+	notRunStatuses := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
+	if n > 0 && slices.Contains(notRunStatuses, q.answer.Status) {
 		h.addViolation("%s %s got status %d, which says that it did not run, but it ran", q.route, q.id, q.answer.Status)
 	}
 }
