--- a/io/command/bench_test.go
+++ b/io/command/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkStream(b *testing.B) {
 	f := newEntryFleet(b, 1)
 	for i := range 60 {
-		f.addServer(fmt.Sprint("more", i), fakeendpoint.Options{Service: "models", Slots: 128, Events: 5, EventTime: time.Millisecond})
+		f.addEndpoint(fmt.Sprint("more", i), fakeendpoint.Options{Service: "models", Slots: 128, Events: 5, EventTime: time.Millisecond})
 	}
 	vm := f.vms[0]
 	f.waitFor("all endpoints are registered", func() bool { return vm.dispatcher.CountInDomain("a") == 67 })
--- a/io/command/entryvm_test.go
+++ b/io/command/entryvm_test.go
@@ -27,26 +27,26 @@
 	"savoryfall/platform/standin/testclient"
 )
 
-// entryFleet runs entry VMs, endpoint servers and a store in one process, on loopback.
+// entryFleet runs entry VMs, fake endpoints and a store in one process, on loopback.
 type entryFleet struct {
 	t            testing.TB
 	store        fakestore.Service
 	storeAddress string
-	servers      map[string]*fakeendpoint.Endpoint
+	endpoints    map[string]*fakeendpoint.Endpoint
 	vms          []*entryVM
 }
 
 func newEntryFleet(t testing.TB, vms int) *entryFleet {
-	f := &entryFleet{t: t, servers: map[string]*fakeendpoint.Endpoint{}}
-	h := httptest.NewServer(&f.store)
-	t.Cleanup(h.Close)
-	f.storeAddress = strings.TrimPrefix(h.URL, "http://")
+	f := &entryFleet{t: t, endpoints: map[string]*fakeendpoint.Endpoint{}}
+	storeServer := httptest.NewServer(&f.store)
+	t.Cleanup(storeServer.Close)
+	f.storeAddress = strings.TrimPrefix(storeServer.URL, "http://")
 	f.putConfiguration(1, "good", "plain")
 	for i := range 3 {
-		f.addServer(fmt.Sprint("m", i), fakeendpoint.Options{Service: "models", Slots: 32, Events: 5, EventTime: time.Millisecond})
-		f.addServer(fmt.Sprint("p", i), fakeendpoint.Options{Service: "plain", Slots: 8})
+		f.addEndpoint(fmt.Sprint("m", i), fakeendpoint.Options{Service: "models", Slots: 32, Events: 5, EventTime: time.Millisecond})
+		f.addEndpoint(fmt.Sprint("p", i), fakeendpoint.Options{Service: "plain", Slots: 8})
 	}
-	f.addServer("q0", fakeendpoint.Options{Service: "other", Slots: 8})
+	f.addEndpoint("q0", fakeendpoint.Options{Service: "other", Slots: 8})
 	for i := range vms {
 		f.start(i)
 	}
@@ -75,7 +75,7 @@
 		route("book", "non_idempotent", "plain", false), route("draft", "streaming", "models", true), key))
 }
 
-func (f *entryFleet) addServer(id string, o fakeendpoint.Options) {
+func (f *entryFleet) addEndpoint(id string, o fakeendpoint.Options) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	o.ID, o.Address = id, l.Addr().String()
@@ -83,10 +83,10 @@
 		o.FailureDomain = "a"
 	}
 	s := fakeendpoint.New(o)
-	h := &http.Server{Handler: s}
-	go func() { _ = h.Serve(l) }()
-	f.t.Cleanup(func() { _ = h.Close() })
-	f.servers[id] = s
+	httpServer := &http.Server{Handler: s}
+	go func() { _ = httpServer.Serve(l) }()
+	f.t.Cleanup(func() { _ = httpServer.Close() })
+	f.endpoints[id] = s
 	f.store.Put("keyed.servers", id, s.Entry())
 }
 
@@ -162,7 +162,7 @@
 		assert.Equal(t, f.get(vm, "/none/x", "good").Status, 404)
 	}
 	booked := int64(0)
-	for _, s := range f.servers {
+	for _, s := range f.endpoints {
 		booked += s.ExecutionsOf("bvm0")
 	}
 	assert.Equal(t, booked, int64(1))
@@ -269,11 +269,11 @@
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.servers["p0"].Drain()
-	f.servers["p1"].Drain()
-	f.store.Put("keyed.servers", "p0", f.servers["p0"].Entry())
+	f.endpoints["p0"].Drain()
+	f.endpoints["p1"].Drain()
+	f.store.Put("keyed.servers", "p0", f.endpoints["p0"].Entry())
 	f.store.Put("keyed.servers", "p1", nil)
-	runs := func() int64 { return f.servers["p0"].ExecutedCount() + f.servers["p1"].ExecutedCount() }
+	runs := func() int64 { return f.endpoints["p0"].ExecutedCount() + f.endpoints["p1"].ExecutedCount() }
 	for _, vm := range f.vms {
 		f.waitFor("only p2 is used", func() bool {
 			before := runs()
@@ -289,7 +289,7 @@
 func TestDrainedDomainGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := newEntryFleet(t, 3)
-	f.addServer("far", fakeendpoint.Options{Service: "plain", Slots: 64, FailureDomain: "b"})
+	f.addEndpoint("far", fakeendpoint.Options{Service: "plain", Slots: 64, FailureDomain: "b"})
 	f.store.Put("keyed.op", "evacuate/nowhere", []byte("{}"))
 	f.store.Put("keyed.op", "evacuate/a", []byte("{}"))
 	f.waitFor("the drain is active and the server in domain b is known", func() bool {
@@ -299,7 +299,7 @@
 	})
 	runsInDrainedDomain := func() (runs int64) {
 		for _, id := range []string{"p0", "p1", "p2"} {
-			runs += f.servers[id].ExecutedCount()
+			runs += f.endpoints[id].ExecutedCount()
 		}
 		return runs
 	}
--- a/io/command/loglines_test.go
+++ b/io/command/loglines_test.go
@@ -65,7 +65,7 @@
 	}
 	assert.Equal(t, f.send(vm, "GET", "/read/x", "bad", "wrong-key").Status, 401)
 	assert.Equal(t, f.send(vm, "GET", "/none/x", "good", "wrong-path").Status, 404)
-	f.servers["q0"].Drain()
+	f.endpoints["q0"].Drain()
 	f.store.Put("keyed.servers", "q0", nil)
 	f.store.Put("keyed.servers", "odd", []byte("["))
 	f.store.Put("keyed.op", "config", []byte("{"))
--- a/io/command/lognames_test.go
+++ b/io/command/lognames_test.go
@@ -252,21 +252,21 @@
 // The logger accepts any key, so a misspelled one would go unnoticed until a search finds nothing. This test checks the
 // source instead: log calls use only declared fields and events, and each declared one is used.
 func TestLogCallsUseDeclaredNames(t *testing.T) {
-	r := &logCallChecker{fset: token.NewFileSet(), fields: map[string]bool{}, events: map[string]bool{}}
-	files, packages := loggingFiles(t, r.fset)
+	checker := &logCallChecker{fset: token.NewFileSet(), fields: map[string]bool{}, events: map[string]bool{}}
+	files, packages := loggingFiles(t, checker.fset)
 	assert.DeepEqual(t, packages, []string{
 		"core/loganalysis", "io/clientconn", "io/command", "io/draining", "io/entry", "io/follow", "io/hub", "io/logwriter", "io/registry",
 		"io/storeconfig",
 	})
 	for _, f := range files {
-		ast.Inspect(f, r.visit)
+		ast.Inspect(f, checker.visit)
 	}
-	assert.Equal(t, strings.Join(r.problems, "\n"), "")
+	assert.Equal(t, strings.Join(checker.problems, "\n"), "")
 	for _, c := range fieldNames(t) {
-		assert.Assert(t, r.fields[c.name], "no log call uses field.%s", c.name)
+		assert.Assert(t, checker.fields[c.name], "no log call uses field.%s", c.name)
 	}
 	for _, c := range eventNames(t) {
-		assert.Assert(t, r.events[c.name], "no log call uses event.%s", c.name)
+		assert.Assert(t, checker.events[c.name], "no log call uses event.%s", c.name)
 	}
 }
 
@@ -334,14 +334,14 @@
 	_ = math.Log(2)
 }
 `
-	r := &logCallChecker{fset: token.NewFileSet(), fields: map[string]bool{}, events: map[string]bool{}}
-	f, err := parser.ParseFile(r.fset, "x.go", source, parser.SkipObjectResolution)
+	checker := &logCallChecker{fset: token.NewFileSet(), fields: map[string]bool{}, events: map[string]bool{}}
+	f, err := parser.ParseFile(checker.fset, "x.go", source, parser.SkipObjectResolution)
 	assert.NilError(t, err)
-	ast.Inspect(f, r.visit)
+	ast.Inspect(f, checker.visit)
 	lines := map[string]bool{}
-	for _, problem := range r.problems {
+	for _, problem := range checker.problems {
 		lines[strings.Split(problem, ":")[1]] = true
 	}
-	assert.Equal(t, len(lines), 8, "%v", r.problems)
-	assert.Assert(t, !lines["12"] && !lines["13"], "%v", r.problems)
+	assert.Equal(t, len(lines), 8, "%v", checker.problems)
+	assert.Assert(t, !lines["12"] && !lines["13"], "%v", checker.problems)
 }
--- a/io/fleet/answers_test.go
+++ b/io/fleet/answers_test.go
@@ -166,14 +166,14 @@
 // The client disconnects in the middle of a stream. The router cancels the request at the engine, which becomes idle.
 func TestClientDisconnectCancelsEngineWork(t *testing.T) {
 	f := startFleetWithLimits(t, 1, 0, "")
-	ctx, hangUp := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	resp, err := post(ctx, f, "/v1/chat/completions",
 		`{"model":"sur-large","stream":true,"messages":[{"role":"user","content":"endless #20000"}]}`)
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	_, err = io.ReadFull(resp.Body, make([]byte, 64))
 	assert.NilError(t, err)
-	hangUp()
+	disconnect()
 	waitFor(t, "the engine is idle", func() bool { return f.Engine("engine-01").ActualState().Requests == 0 })
 }
 
--- a/io/fleet/members_test.go
+++ b/io/fleet/members_test.go
@@ -133,10 +133,10 @@
 	ended.Store(true)
 	waitFor(t, "requests run on "+name, func() bool {
 		if ended.Swap(false) {
-			wave := startStreams(t, f, n, tokens)
-			all = wave
+			streams := startStreams(t, f, n, tokens)
+			all = streams
 			go func() {
-				wave.Wait()
+				streams.Wait()
 				ended.Store(true)
 			}()
 		}
--- a/io/fleet/recovery_test.go
+++ b/io/fleet/recovery_test.go
@@ -24,8 +24,8 @@
 // -benchtime 5x.
 func BenchmarkRecovery(b *testing.B) {
 	for _, tc := range []struct {
-		name string
-		once func(b *testing.B, f *fleet.Fleet) time.Duration
+		name    string
+		measure func(b *testing.B, f *fleet.Fleet) time.Duration
 	}{
 		{"deadRouter", killRouter},
 		{"deadEngine", killEngine},
@@ -38,7 +38,7 @@
 			var sum, worst time.Duration
 			for b.Loop() {
 				f := startBenchFleet(b)
-				took := tc.once(b, f)
+				took := tc.measure(b, f)
 				sum += took
 				worst = max(worst, took)
 				assert.NilError(b, f.Stop(context.Background()))
--- a/io/fleet/tls_test.go
+++ b/io/fleet/tls_test.go
@@ -55,10 +55,10 @@
 	waitFor(t, "the peers are in contact", func() bool {
 		return memberState(t, f.Routers()[0], "entry-2") == "alive" && status(t, f.Routers()[0]).Members[0].Incarnation > 0
 	})
-	pem, err := os.ReadFile(cert)
+	authority, err := os.ReadFile(cert)
 	assert.NilError(t, err)
 	pool := x509.NewCertPool()
-	assert.Assert(t, pool.AppendCertsFromPEM(pem))
+	assert.Assert(t, pool.AppendCertsFromPEM(authority))
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	defer client.CloseIdleConnections()
 	resp, err := client.Get("https://" + f.Routers()[0].CallerAddress() + "/readyz")
