--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -93,8 +93,8 @@
 	return text
 }
 
-// checkRuns verifies that a non-repeatable request runs at most once, and that a request whose status says that it did
-// not run has not run.
+// checkRuns verifies that a request that must not be retried runs at most once, and that a request whose status says
+// that it did not run has not run.
 func (h *harness) checkRuns(q *request) {
 	if q.route != "book" && q.route != "talk" {
 		return
@@ -103,8 +103,8 @@
 	if n > 1 {
 		h.addViolation("%s %s ran %d times", q.route, q.id, n)
 	}
-	promises := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
-	if n > 0 && slices.Contains(promises, q.answer.Status) {
+	notRunStatuses := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
+	if n > 0 && slices.Contains(notRunStatuses, q.answer.Status) {
 		h.addViolation("%s %s got status %d, which says that it did not run, but it ran", q.route, q.id, q.answer.Status)
 	}
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// checkAcceptsWhileStopping verifies that it accepts new connections for just as long.
+// checkAcceptsWhileStopping verifies that a stopping router accepts new connections for just as long.
 func (h *harness) checkAcceptsWhileStopping() {
 	for _, r := range h.routers {
 		for _, at := range r.refusedDials {
